--- a/src/tarragonramp/roles/entry.py
+++ b/src/tarragonramp/roles/entry.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests and brings back whole answers."""
+"""Entry role: forwards callers' requests to backend servers."""
 
 import collections
 import functools
@@ -48,22 +48,21 @@
 __all__ = ["Entry"]
 
 RETRY_AFTER_S = 1.0
-SERVER_SILENT = "server does not answer"
-STALE_OWNER = 409
+SERVER_UNRESPONSIVE = "server does not answer"
+STALE_OWNER_STATUS = 409
 
-# A connection that cannot be opened costs the server nothing, so it draws on no
-# budget; but each try may take as long as a silent address does.
+# A failed connection attempt costs the server nothing and is not charged to the retry
+# budget, but each one may last a full connect timeout.
 MAX_TRIES = 4
 
-# Load: all requests for the keys of a move, for as long as it takes. An owner refuses
-# them while its route here is old, and while the grant that goes with a new route is
-# still on its way, some 10 ms. Harm prevented: a refusal to callers for a move that is
-# over in a moment; more than three further tries would load an owner that has lost its
-# steward for good.
-OWNER_PAUSES_MS = (15.0, 60.0, 200.0)
+# Delays between tries of a request that its owner refused. An owner refuses while the
+# route known here is outdated, and while the grant that belongs to a new route has not
+# arrived yet (about 10 ms). Retrying hides a short move of keys from callers; more than
+# three retries would only load an owner that has lost its steward for good.
+OWNER_RETRY_DELAYS_MS = (15.0, 60.0, 200.0)
 
-# After these the caller's connection is not read any further: where its next request
-# begins is in doubt.
+# After these the caller's connection is closed, because the start of its next request
+# cannot be determined.
 CLOSING_STATUSES = frozenset((400, 408, 413))
 
 
@@ -80,12 +79,12 @@
     limits : Limits
     meter : RequestMeter
     backends : Backends
-        Asked whether a server that seems silent is there.
+        Probes servers that appear unresponsive.
     forward : callable
-        ``forward(Order) -> Result``: to a server that takes orders from nobody but
-        its steward.
+        ``forward(Order) -> Result``: sends a request through the server's steward,
+        for servers that only their steward may send to.
     stood_still_ms : callable
-        Returns for how long this process has stood still in all.
+        Returns the total time for which this process has been paused.
     """
 
     view: object
@@ -100,37 +99,37 @@
     _routes: Routes = attrs.field(init=False)
     _gates: dict = attrs.Factory(dict)
     _passes: Passes = attrs.Factory(Passes)
-    _reach: dict = attrs.Factory(lambda: collections.defaultdict(Reachability))
+    _reachability: dict = attrs.Factory(lambda: collections.defaultdict(Reachability))
     _ejections: dict = attrs.Factory(lambda: collections.defaultdict(Ejections))
     _rng: random.Random = attrs.Factory(random.Random)
-    _changed: Event = attrs.Factory(Event)
+    _view_changed: Event = attrs.Factory(Event)
     _budgets: dict = attrs.Factory(lambda: collections.defaultdict(RetryBudget))
     _exchange_ids: object = attrs.Factory(
         lambda: map(f"{uuid.uuid4().hex[:12]}-{{}}".format, itertools.count())
     )
 
     def __attrs_post_init__(self):
-        """Wake requests that wait for a route whenever the view changes."""
+        """Subscribe to view changes, to wake requests that wait for a route."""
         self._routes = Routes(self.view)
-        self.view.on_change(self._wake)
+        self.view.on_change(self._on_view_change)
 
     def __call__(self, environ, start_response):
-        """Serve one request of a caller."""
+        """Handle one caller request."""
         times = self.meter.begin(self.clock.now_ms())
-        outcome, named = UNKNOWN, ""
+        outcome, assigned_id = UNKNOWN, ""
         try:
-            named = request_id(environ[HEADERS_KEY]) or uuid.uuid4().hex
-            answer = self._serve(environ, named, times)
+            assigned_id = request_id(environ[HEADERS_KEY]) or uuid.uuid4().hex
+            answer = self._serve(environ, assigned_id, times)
             outcome = ANSWERED
         except RequestError as error:
             outcome = error.outcome
-            return _refuse(start_response, error, named)
+            return _refusal_response(start_response, error, assigned_id)
         finally:
             self.meter.finish(times, outcome, self.clock.now_ms())
-        headers = answer_headers(answer, named)
+        headers = answer_headers(answer, assigned_id)
         return answer_reply(start_response, environ["REQUEST_METHOD"], answer, headers)
 
-    def _serve(self, environ, named, times):
+    def _serve(self, environ, assigned_id, times):
         path = environ["PATH_INFO"]
         check_path(path)
         found = self.view.service_at(path)
@@ -138,41 +137,41 @@
             raise RequestError(404, NOT_RUN, "no service at this path")
         team, service = found
         times.service = f"{team}/{service.name}"
-        request = self._read(environ, service, named, times)
+        request = self._read(environ, service, assigned_id, times)
         if not service.divided:
             return self._serve_shared(team, service, request)
         key = key_of(service, environ[HEADERS_KEY], request.target)
         return self._serve_divided(team, service, key, request)
 
-    def _read(self, environ, service, named, times):
+    def _read(self, environ, service, assigned_id, times):
         method, headers = environ["REQUEST_METHOD"], environ[HEADERS_KEY]
         caller_class = class_of(service, method, environ["PATH_INFO"])
-        patience_ms = deadline_ms(headers, caller_class)
+        request_timeout_ms = deadline_ms(headers, caller_class)
         return Request(
             method=method,
             target=environ[TARGET_KEY],
             headers=end_to_end(headers),
-            body=read_body(environ, self.limits.body_bytes, patience_ms),
-            request_id=named,
-            deadline_at_ms=times.began_ms + patience_ms,
+            body=read_body(environ, self.limits.body_bytes, request_timeout_ms),
+            request_id=assigned_id,
+            deadline_at_ms=times.began_ms + request_timeout_ms,
             caller_class=caller_class,
             is_wanted=lambda: not caller_is_gone(environ),
             times=times,
         )
 
     def _serve_divided(self, team, service, key, request):
-        """Send to the owner; again if that can do no harm.
+        """Send a request to the owner of its key, retrying where that is safe.
 
-        Sent again a few times if the owner refused it, and, within the retry budget,
-        if the outcome is unknown and the request idempotent. Always to the current
-        owner: nobody else may act for the key.
+        Retried a few times if the owner refused it and, within the retry budget, if
+        the outcome is unknown and the request is idempotent. Every try goes to the
+        current owner, the only server that may act for the key.
         """
         index = slice_of(key, service.n_slices)
         budget = self._budgets[team, service.name]
         budget.earn()
-        for pause_ms in (*OWNER_PAUSES_MS, None):
-            route = self._owner(team, service, index, request)
-            is_current = functools.partial(self._is_owner, team, service, route)
+        for retry_delay_ms in (*OWNER_RETRY_DELAYS_MS, None):
+            route = self._wait_for_owner(team, service, index, request)
+            is_current = functools.partial(self._is_current_owner, team, service, route)
             gate = self._admit(route, service, request, is_current)
             if gate is None:
                 continue
@@ -187,20 +186,20 @@
             answer = result.unwrap()
             if answer.header(OUTCOME_HEADER) != NOT_RUN:
                 return answer
-            if answer.status != STALE_OWNER:
+            if answer.status != STALE_OWNER_STATUS:
                 raise request.refusal(503, "server is busy", self._retry_after_s())
-            if pause_ms is not None:
-                self._await_newer(team, service, route, pause_ms)
+            if retry_delay_ms is not None:
+                self._wait_for_newer_route(team, service, route, retry_delay_ms)
         raise request.refusal(503, "owner is changing", self._retry_after_s())
 
-    def _is_owner(self, team, service, route):
+    def _is_current_owner(self, team, service, route):
         return self._routes.owner(team, service.name, route.slice_index) == route
 
-    def _owner(self, team, service, index, request):
-        """Return the route to a slice's owner, waiting a moment while it moves.
+    def _wait_for_owner(self, team, service, index, request):
+        """Return the route to a slice's owner, waiting briefly if there is none.
 
-        Nothing has been sent yet, so waiting cannot run a request twice; the wait
-        is short because a refusal with a time to come back is better than a queue.
+        Nothing has been sent yet, so waiting cannot execute a request twice. The wait
+        is short: a refusal with a retry time is preferred to a growing queue.
         """
         wait_until_ms = self.clock.now_ms() + self.timing.route_wait_ms
         wait_until_ms = min(wait_until_ms, request.deadline_at_ms)
@@ -211,25 +210,28 @@
             left_ms = wait_until_ms - self.clock.now_ms()
             if left_ms <= 0:
                 raise request.refusal(503, "key has no owner", self._retry_after_s())
-            self._changed.wait(left_ms / 1000.0)
+            self._view_changed.wait(left_ms / 1000.0)
 
-    def _await_newer(self, team, service, refused, pause_ms):
-        """Wait a moment until a refused route was replaced, or its grant has come."""
-        until_ms = self.clock.now_ms() + pause_ms
+    def _wait_for_newer_route(self, team, service, refused, retry_delay_ms):
+        """Wait until a refused route is replaced, at most for a retry delay.
+
+        The full delay also gives the owner time to receive its grant.
+        """
+        until_ms = self.clock.now_ms() + retry_delay_ms
         while (left_ms := until_ms - self.clock.now_ms()) > 0:
             route = self._routes.owner(team, service.name, refused.slice_index)
             if route is not None and route.token > refused.token:
                 return
-            self._changed.wait(left_ms / 1000.0)
+            self._view_changed.wait(left_ms / 1000.0)
 
     def _serve_shared(self, team, service, request):
-        """Send to a server of the service; elsewhere if that can do no harm."""
+        """Send a request to any server of a service, retrying where that is safe."""
         budget = self._budgets[team, service.name]
         ejections = self._ejections[team, service.name]
         budget.earn()
         tried = set()
         for _ in range(MAX_TRIES):
-            route = self._pick(team, service, ejections, tried)
+            route = self._choose_route(team, service, ejections, tried)
             if route is None:
                 break
             tried.add(route.server)
@@ -239,32 +241,33 @@
                 answer = result.unwrap()
                 if answer.header(OUTCOME_HEADER) != NOT_RUN:
                     return answer
-                # A steward that has just handed its term over refuses without asking
-                # the server. The budget keeps further load from servers, and callers
-                # were refused for as long as the term was on its way, some 50 ms.
-                if answer.status != STALE_OWNER and not budget.spend():
+                # A steward that has just handed over its term refuses without
+                # contacting the server. The budget limits load on servers, so this
+                # refusal is not charged to it; charging it got callers refused for
+                # the length of a handover, about 50 ms.
+                if answer.status != STALE_OWNER_STATUS and not budget.spend():
                     break
                 continue
             self._check_retry(result.failure(), request, budget)
         raise request.refusal(503, "no server can take it", self._retry_after_s())
 
-    def _pick(self, team, service, ejections, tried):
+    def _choose_route(self, team, service, ejections, tried):
         routes = self._routes.candidates(team, service.name)
         routes = ejections.usable(routes, self.clock.now_ms())
         if tried:
             routes = [route for route in routes if route.server not in tried]
-        routes = [r for r in routes if not self._reach[r.server].down] or routes
+        routes = [r for r in routes if not self._reachability[r.server].down] or routes
         if not routes:
             return None
-        routes = self._without_busy_gates(routes)
+        routes = self._exclude_busy_cold_servers(routes)
         return less_loaded(routes, self._load_of, self._rng)
 
     def _load_of(self, route):
         gate = self._gates.get(route.server)
         return 0.0 if gate is None else gate.load
 
-    def _gate(self, server, service):
-        """Return the gate before a server, with its latest limits."""
+    def _gate_for(self, server, service):
+        """Return the admission gate of a server, updated to the current limits."""
         slots, connections = service.slots_per_server, service.connections_per_server
         n_entries = self._routes.n_entries()
         gate = self._gates.get(server)
@@ -277,79 +280,80 @@
         return gate
 
     def _admit(self, route, service, request, is_current=None):
-        """Pass the gate before a server, waiting if there is hope.
+        """Pass a server's admission gate, queueing if a slot can be expected in time.
 
         Returns
         -------
         gate : Gate or None
-            Which the request has to leave; None if the route changed meanwhile: a
-            key that moves away from a frozen owner takes its callers with it.
+            The gate that the request has to leave. None if the route changed
+            meanwhile, so that callers queued for a frozen owner follow their key to
+            the next one.
         """
-        reach = self._reach[route.server]
-        if not route.gated_at and reach.should_probe(self.clock.now_ms()):
-            gevent.spawn(self._probe, route, reach)
-        if reach.down:
-            raise request.refusal(503, SERVER_SILENT, self._retry_after_s())
-        gate = self._gate(route.server, service)
+        server_reachability = self._reachability[route.server]
+        if not route.gated_at and server_reachability.should_probe(self.clock.now_ms()):
+            gevent.spawn(self._probe, route, server_reachability)
+        if server_reachability.down:
+            raise request.refusal(503, SERVER_UNRESPONSIVE, self._retry_after_s())
+        gate = self._gate_for(route.server, service)
         ticket = Ticket(request.caller_class.priority, request.deadline_at_ms)
-        _tell(gate.arrive(ticket, self.clock.now_ms()))
+        _notify(gate.arrive(ticket, self.clock.now_ms()))
         if ticket.state == ADMITTED:
             return gate
         if ticket.state == WAITING:
-            self._wait(gate, ticket, request, reach, is_current)
+            self._wait_in_queue(gate, ticket, request, server_reachability, is_current)
         if is_current is not None and not is_current():
             if ticket.state == ADMITTED:
-                _tell(gate.leave(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
+                _notify(gate.leave(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
             return None
         if ticket.state == ADMITTED:
             return gate
-        if reach.down:
-            raise request.refusal(503, SERVER_SILENT, self._retry_after_s())
+        if server_reachability.down:
+            raise request.refusal(503, SERVER_UNRESPONSIVE, self._retry_after_s())
         retry_after_s = ticket.retry_after_ms / 1000.0
         raise request.refusal(503, "server is busy", retry_after_s)
 
-    def _probe(self, route, reach):
-        """Ask a server that seems silent until it answers, or is another's business."""
+    def _probe(self, route, server_reachability):
+        """Probe an unresponsive server until it answers or its address changes."""
         while True:
             asked_ms = self.clock.now_ms()
             timeout_ms = self.timing.control_timeout_ms
             result = self.backends.probe(route.address, timeout_ms)
-            if reach.probed(is_successful(result), self.clock.now_ms()):
+            if server_reachability.probed(is_successful(result), self.clock.now_ms()):
                 return
             vm = self.view.vms.get(route.server)
             if vm is None or vm.address != route.address:
-                self._reach.pop(route.server, None)
+                self._reachability.pop(route.server, None)
                 return
             left_ms = timeout_ms - (self.clock.now_ms() - asked_ms)
             gevent.sleep(max(0.0, left_ms) / 1000.0)
 
-    def _wait(self, gate, ticket, request, reach, is_current):
-        """Wait until a ticket is admitted or refused, or until nothing is to be won."""
-        moved = Event()
-        ticket.on_change = moved.set
+    def _wait_in_queue(self, gate, ticket, request, server_reachability, is_current):
+        """Wait until a ticket is admitted or refused, or waiting becomes pointless."""
+        ticket_changed = Event()
+        ticket.on_change = ticket_changed.set
         try:
             while ticket.state == WAITING:
                 left_ms = gate.latest_start_ms(ticket) - self.clock.now_ms()
-                if left_ms <= 0 or reach.down or not request.is_wanted():
+                if left_ms <= 0 or server_reachability.down or not request.is_wanted():
                     break
                 if is_current is not None and not is_current():
                     break
-                moved.wait(min(left_ms, CANCELLATION_CHECK_MS) / 1000.0)
+                ticket_changed.wait(min(left_ms, CANCELLATION_CHECK_MS) / 1000.0)
         except BaseException:
-            # The greenlet is being killed: nobody else would free its place.
+            # The greenlet is being killed; release its slot here, as nothing else does.
             if ticket.state == ADMITTED:
-                _tell(gate.leave(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
+                _notify(gate.leave(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
             raise
         finally:
             if ticket.state == WAITING:
                 gate.withdraw(ticket)
 
     def _exchange(self, route, request, gate, ejections=None):
-        """Send a request that has been admitted, once, and leave the gate."""
-        sent_ms, still_ms = self.clock.now_ms(), self.stood_still_ms()
+        """Send an admitted request once, and leave the gate."""
+        sent_ms, paused_before_ms = self.clock.now_ms(), self.stood_still_ms()
         outcome = Outcome.CANCELLED
-        reach = self._reach[route.server]
-        number, answered = reach.sent(sent_ms), False
+        server_reachability = self._reachability[route.server]
+        number, answered = server_reachability.sent(sent_ms), False
         try:
             result = self._send(route, request, sent_ms)
             answered = is_successful(result)
@@ -358,10 +362,10 @@
         finally:
             now_ms = self.clock.now_ms()
             request.times.service_ms += now_ms - sent_ms
-            # The server is judged by what it took, not by this process's own pauses.
-            took_ms = now_ms - sent_ms - (self.stood_still_ms() - still_ms)
-            reach.ended(number, answered, now_ms)
-            _tell(gate.leave(outcome, took_ms, now_ms))
+            # Exclude pauses of this process from the server's latency.
+            took_ms = now_ms - sent_ms - (self.stood_still_ms() - paused_before_ms)
+            server_reachability.ended(number, answered, now_ms)
+            _notify(gate.leave(outcome, took_ms, now_ms))
             if ejections is not None and outcome == Outcome.ANSWERED:
                 ejections.note_answer(route.server, took_ms, now_ms)
             elif ejections is not None and outcome == Outcome.LOST:
@@ -378,9 +382,9 @@
         if route.slice_index >= 0:
             headers.append(("Tarragon-Slice", str(route.slice_index)))
             headers.append(("Tarragon-Token", str(route.token)))
-        if route.gated_at or not self._may_send(route):
+        if route.gated_at or not self._may_send_directly(route):
             result = self._forward(route, request, headers, left_ms)
-            return result.map(lambda answer: self._note_warmth(route, answer))
+            return result.map(lambda answer: self._note_cold_start(route, answer))
         headers.append(("Tarragon-Deadline-Ms", str(int(left_ms))))
         result = self.pools.at(route.address).exchange(
             request.method,
@@ -391,22 +395,26 @@
             request.is_wanted,
         )
         if is_successful(result):
-            self._note_warmth(route, result.unwrap())
+            self._note_cold_start(route, result.unwrap())
         elif not isinstance(result.failure(), AbandonedError):
-            # A failure on the way through the steward says nothing of the server.
+            # Only a direct exchange counts: a failure on the path through the steward
+            # says nothing about the server.
             self._passes.take(route.server)
         return result
 
     def _retry_after_s(self):
-        """Return when to come back if no queue tells, jittered against waves."""
+        """Return a retry time for refusals without a queue estimate.
+
+        Jittered, so that refused callers do not all return at the same moment.
+        """
         return RETRY_AFTER_S * (0.5 + self._rng.random())
 
-    def _may_send(self, route):
-        """Tell whether a request need not go through the server's steward."""
+    def _may_send_directly(self, route):
+        """Return whether a request may bypass the server's steward."""
         return self.forward is None or self.knows_warm(route.server, route.address)
 
     def knows_warm(self, server, address):
-        """Tell whether a server is known to bear its full load, and to be the same.
+        """Return whether a server is known to be warm and still the same process.
 
         Parameters
         ----------
@@ -415,15 +423,15 @@
 
         def is_connected():
             gate = self._gates.get(server)
-            # One request in flight may be the one that asks, without a connection yet.
+            # A single request in flight may be the asking one, not connected yet.
             if gate is not None and gate.in_flight > 1:
                 return True
             return self.pools.at(address).has_live_idle()
 
         return self._passes.holds(server, address, is_connected, self.clock.now_ms())
 
-    def _note_warmth(self, route, answer):
-        """Take in what an answer tells of a server's cold start; return the answer."""
+    def _note_cold_start(self, route, answer):
+        """Record the cold-start hints in a response; return the response."""
         shed = answer.header(OUTCOME_HEADER) == NOT_RUN and answer.status == 503
         if shed or answer.header(COLD_HEADER):
             self._passes.take(route.server)
@@ -431,12 +439,12 @@
             self._passes.give(route.server, route.address, self.clock.now_ms())
         return answer
 
-    def _without_busy_gates(self, routes):
-        """Leave out servers in a cold start that this entry has sent something to.
+    def _exclude_busy_cold_servers(self, routes):
+        """Exclude cold servers that already have a request from this entry.
 
-        Load: a service one of whose servers has just come back. Harm prevented: callers
-        queue for the one request that it bears while others are free. One request at a
-        time still goes there, so that its steward is asked again.
+        A server that has just come back can take very few requests, and callers would
+        queue for it while other servers are free. One request at a time still goes
+        there, so that its steward's verdict is updated.
         """
         if self.forward is None:
             return routes
@@ -462,12 +470,11 @@
         return self.forward(order)
 
     def _check_retry(self, error, request, budget):
-        """Return if a request may be sent again after a failed exchange; else raise.
+        """Return if a request may be retried after a failed exchange; raise otherwise.
 
-        A reused connection may have been closed by the server just before the send:
-        the failure then looks as if nothing had arrived, but it looks the same if the
-        server died after running the request. So only an exchange of which no byte
-        left counts as not run.
+        When a reused connection is closed by the server, the failure looks the same
+        whether the request never arrived or the server died after executing it. So
+        only an exchange of which no byte was sent counts as not run.
         """
         if isinstance(error, AbandonedError):
             raise RequestError(499, UNKNOWN, "caller has gone")
@@ -482,35 +489,35 @@
         if not request.caller_class.idempotent or not budget.spend():
             raise RequestError(502, UNKNOWN, "no whole answer from the server")
 
-    def _wake(self):
-        """Let everybody who waits look again."""
+    def _on_view_change(self):
+        """Drop cached routes and wake all requests that wait for one."""
         self._routes.forget()
-        changed, self._changed = self._changed, Event()
+        changed, self._view_changed = self._view_changed, Event()
         changed.set()
 
 
 def _outcome_of(result):
-    """Return how an exchange looks from the gate."""
+    """Return the outcome of an exchange as the gate accounts for it."""
     if is_successful(result):
         answer = result.unwrap()
         if answer.header(OUTCOME_HEADER) != NOT_RUN:
             return Outcome.ANSWERED
-        stale = answer.status == STALE_OWNER
+        stale = answer.status == STALE_OWNER_STATUS
         return Outcome.CANCELLED if stale else Outcome.SHED
     abandoned = isinstance(result.failure(), AbandonedError)
     return Outcome.CANCELLED if abandoned else Outcome.LOST
 
 
-def _tell(tickets):
+def _notify(tickets):
     for ticket in tickets:
         ticket.on_change()
 
 
-def _refuse(start_response, error, named):
-    headers = [("X-Request-Id", named)] if named else []
+def _refusal_response(start_response, error, assigned_id):
+    headers = [("X-Request-Id", assigned_id)] if assigned_id else []
     if error.retry_after_s is not None:
-        # Whole seconds are coarse for a queue that drains in less: callers who know
-        # us find the milliseconds beside them.
+        # Retry-After has a resolution of one second, but queues drain faster: callers
+        # that know this extension header get milliseconds.
         headers.append(("Retry-After", str(max(1, round(error.retry_after_s)))))
         retry_after_ms = int(error.retry_after_s * 1000.0)
         headers.append(("Tarragon-Retry-After-Ms", str(retry_after_ms)))
