--- a/src/tarragonramp/roles/entry.py
+++ b/src/tarragonramp/roles/entry.py
@@ -97,10 +97,10 @@
     forward: object = None
     stood_still_ms: object = lambda: 0.0
     _routes: Routes = attrs.field(init=False)
-    _gates: dict = attrs.Factory(dict)
-    _passes: Passes = attrs.Factory(Passes)
+    _limiters: dict = attrs.Factory(dict)
+    _direct_permits: Passes = attrs.Factory(Passes)
     _reachability: dict = attrs.Factory(lambda: collections.defaultdict(Reachability))
-    _ejections: dict = attrs.Factory(lambda: collections.defaultdict(Ejections))
+    _outlier_detectors: dict = attrs.Factory(lambda: collections.defaultdict(Ejections))
     _rng: random.Random = attrs.Factory(random.Random)
     _view_changed: Event = attrs.Factory(Event)
     _budgets: dict = attrs.Factory(lambda: collections.defaultdict(RetryBudget))
@@ -146,14 +146,14 @@
     def _read(self, environ, service, assigned_id, times):
         method, headers = environ["REQUEST_METHOD"], environ[HEADERS_KEY]
         caller_class = class_of(service, method, environ["PATH_INFO"])
-        request_timeout_ms = deadline_ms(headers, caller_class)
+        caller_timeout_ms = deadline_ms(headers, caller_class)
         return Request(
             method=method,
             target=environ[TARGET_KEY],
             headers=end_to_end(headers),
-            body=read_body(environ, self.limits.body_bytes, request_timeout_ms),
+            body=read_body(environ, self.limits.body_bytes, caller_timeout_ms),
             request_id=assigned_id,
-            deadline_at_ms=times.began_ms + request_timeout_ms,
+            deadline_at_ms=times.began_ms + caller_timeout_ms,
             caller_class=caller_class,
             is_wanted=lambda: not caller_is_gone(environ),
             times=times,
@@ -172,10 +172,10 @@
         for retry_delay_ms in (*OWNER_RETRY_DELAYS_MS, None):
             route = self._wait_for_owner(team, service, index, request)
             is_current = functools.partial(self._is_current_owner, team, service, route)
-            gate = self._admit(route, service, request, is_current)
-            if gate is None:
+            limiter = self._admit(route, service, request, is_current)
+            if limiter is None:
                 continue
-            result = self._exchange(route, request, gate)
+            result = self._exchange(route, request, limiter)
             if not is_successful(result):
                 error = result.failure()
                 self._check_retry(error, request, budget)
@@ -227,16 +227,16 @@
     def _serve_shared(self, team, service, request):
         """Send a request to any server of a service, retrying where that is safe."""
         budget = self._budgets[team, service.name]
-        ejections = self._ejections[team, service.name]
+        outliers = self._outlier_detectors[team, service.name]
         budget.earn()
         tried = set()
         for _ in range(MAX_TRIES):
-            route = self._choose_route(team, service, ejections, tried)
+            route = self._choose_route(team, service, outliers, tried)
             if route is None:
                 break
             tried.add(route.server)
-            gate = self._admit(route, service, request)
-            result = self._exchange(route, request, gate, ejections)
+            limiter = self._admit(route, service, request)
+            result = self._exchange(route, request, limiter, outliers)
             if is_successful(result):
                 answer = result.unwrap()
                 if answer.header(OUTCOME_HEADER) != NOT_RUN:
@@ -251,9 +251,9 @@
             self._check_retry(result.failure(), request, budget)
         raise request.refusal(503, "no server can take it", self._retry_after_s())
 
-    def _choose_route(self, team, service, ejections, tried):
+    def _choose_route(self, team, service, outliers, tried):
         routes = self._routes.candidates(team, service.name)
-        routes = ejections.usable(routes, self.clock.now_ms())
+        routes = outliers.usable(routes, self.clock.now_ms())
         if tried:
             routes = [route for route in routes if route.server not in tried]
         routes = [r for r in routes if not self._reachability[r.server].down] or routes
@@ -263,50 +263,52 @@
         return less_loaded(routes, self._load_of, self._rng)
 
     def _load_of(self, route):
-        gate = self._gates.get(route.server)
-        return 0.0 if gate is None else gate.load
+        limiter = self._limiters.get(route.server)
+        return 0.0 if limiter is None else limiter.load
 
-    def _gate_for(self, server, service):
-        """Return the admission gate of a server, updated to the current limits."""
+    def _limiter_for(self, server, service):
+        """Return the concurrency limiter of a server, updated to the current limits."""
         slots, connections = service.slots_per_server, service.connections_per_server
         n_entries = self._routes.n_entries()
-        gate = self._gates.get(server)
-        if gate is None:
-            gate = self._gates[server] = Gate(
+        limiter = self._limiters.get(server)
+        if limiter is None:
+            limiter = self._limiters[server] = Gate(
                 slots, connections, n_entries, stood_still_ms=self.stood_still_ms
             )
         else:
-            gate.resize(slots, connections, n_entries)
-        return gate
+            limiter.resize(slots, connections, n_entries)
+        return limiter
 
     def _admit(self, route, service, request, is_current=None):
-        """Pass a server's admission gate, queueing if a slot can be expected in time.
+        """Acquire a slot at a server, queueing if one can be expected in time.
 
         Returns
         -------
-        gate : Gate or None
-            The gate that the request has to leave. None if the route changed
-            meanwhile, so that callers queued for a frozen owner follow their key to
-            the next one.
+        limiter : Gate or None
+            Where the slot has to be released. None if the route changed meanwhile,
+            so that callers queued for a frozen owner follow their key to the next
+            one.
         """
         server_reachability = self._reachability[route.server]
         if not route.gated_at and server_reachability.should_probe(self.clock.now_ms()):
             gevent.spawn(self._probe, route, server_reachability)
         if server_reachability.down:
             raise request.refusal(503, SERVER_UNRESPONSIVE, self._retry_after_s())
-        gate = self._gate_for(route.server, service)
+        limiter = self._limiter_for(route.server, service)
         ticket = Ticket(request.caller_class.priority, request.deadline_at_ms)
-        _notify(gate.arrive(ticket, self.clock.now_ms()))
+        _notify(limiter.arrive(ticket, self.clock.now_ms()))
         if ticket.state == ADMITTED:
-            return gate
+            return limiter
         if ticket.state == WAITING:
-            self._wait_in_queue(gate, ticket, request, server_reachability, is_current)
+            self._wait_in_queue(
+                limiter, ticket, request, server_reachability, is_current
+            )
         if is_current is not None and not is_current():
             if ticket.state == ADMITTED:
-                _notify(gate.leave(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
+                _notify(limiter.leave(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
             return None
         if ticket.state == ADMITTED:
-            return gate
+            return limiter
         if server_reachability.down:
             raise request.refusal(503, SERVER_UNRESPONSIVE, self._retry_after_s())
         retry_after_s = ticket.retry_after_ms / 1000.0
@@ -327,13 +329,13 @@
             left_ms = timeout_ms - (self.clock.now_ms() - asked_ms)
             gevent.sleep(max(0.0, left_ms) / 1000.0)
 
-    def _wait_in_queue(self, gate, ticket, request, server_reachability, is_current):
+    def _wait_in_queue(self, limiter, ticket, request, server_reachability, is_current):
         """Wait until a ticket is admitted or refused, or waiting becomes pointless."""
         ticket_changed = Event()
         ticket.on_change = ticket_changed.set
         try:
             while ticket.state == WAITING:
-                left_ms = gate.latest_start_ms(ticket) - self.clock.now_ms()
+                left_ms = limiter.latest_start_ms(ticket) - self.clock.now_ms()
                 if left_ms <= 0 or server_reachability.down or not request.is_wanted():
                     break
                 if is_current is not None and not is_current():
@@ -342,14 +344,14 @@
         except BaseException:
             # The greenlet is being killed; release its slot here, as nothing else does.
             if ticket.state == ADMITTED:
-                _notify(gate.leave(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
+                _notify(limiter.leave(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
             raise
         finally:
             if ticket.state == WAITING:
-                gate.withdraw(ticket)
+                limiter.withdraw(ticket)
 
-    def _exchange(self, route, request, gate, ejections=None):
-        """Send an admitted request once, and leave the gate."""
+    def _exchange(self, route, request, limiter, outliers=None):
+        """Send an admitted request once, and release its slot."""
         sent_ms, paused_before_ms = self.clock.now_ms(), self.stood_still_ms()
         outcome = Outcome.CANCELLED
         server_reachability = self._reachability[route.server]
@@ -365,11 +367,11 @@
             # Exclude pauses of this process from the server's latency.
             took_ms = now_ms - sent_ms - (self.stood_still_ms() - paused_before_ms)
             server_reachability.ended(number, answered, now_ms)
-            _notify(gate.leave(outcome, took_ms, now_ms))
-            if ejections is not None and outcome == Outcome.ANSWERED:
-                ejections.note_answer(route.server, took_ms, now_ms)
-            elif ejections is not None and outcome == Outcome.LOST:
-                ejections.eject(route.server, now_ms)
+            _notify(limiter.leave(outcome, took_ms, now_ms))
+            if outliers is not None and outcome == Outcome.ANSWERED:
+                outliers.note_answer(route.server, took_ms, now_ms)
+            elif outliers is not None and outcome == Outcome.LOST:
+                outliers.eject(route.server, now_ms)
 
     def _send(self, route, request, sent_ms):
         left_ms = request.deadline_at_ms - sent_ms
@@ -399,7 +401,7 @@
         elif not isinstance(result.failure(), AbandonedError):
             # Only a direct exchange counts: a failure on the path through the steward
             # says nothing about the server.
-            self._passes.take(route.server)
+            self._direct_permits.take(route.server)
         return result
 
     def _retry_after_s(self):
@@ -422,21 +424,23 @@
         """
 
         def is_connected():
-            gate = self._gates.get(server)
+            limiter = self._limiters.get(server)
             # A single request in flight may be the asking one, not connected yet.
-            if gate is not None and gate.in_flight > 1:
+            if limiter is not None and limiter.in_flight > 1:
                 return True
             return self.pools.at(address).has_live_idle()
 
-        return self._passes.holds(server, address, is_connected, self.clock.now_ms())
+        return self._direct_permits.holds(
+            server, address, is_connected, self.clock.now_ms()
+        )
 
     def _note_cold_start(self, route, answer):
         """Record the cold-start hints in a response; return the response."""
         shed = answer.header(OUTCOME_HEADER) == NOT_RUN and answer.status == 503
         if shed or answer.header(COLD_HEADER):
-            self._passes.take(route.server)
+            self._direct_permits.take(route.server)
         elif answer.header(DIRECT_HEADER):
-            self._passes.give(route.server, route.address, self.clock.now_ms())
+            self._direct_permits.give(route.server, route.address, self.clock.now_ms())
         return answer
 
     def _exclude_busy_cold_servers(self, routes):
@@ -451,12 +455,12 @@
         free = [
             route
             for route in routes
-            if self._passes.known(route.server) or not self._load_of(route)
+            if self._direct_permits.known(route.server) or not self._load_of(route)
         ]
         return free or routes
 
     def _forward(self, route, request, headers, left_ms):
-        order = Order(
+        forwarded_request = Order(
             *route.service,
             route.server,
             route.slice_index,
@@ -467,7 +471,7 @@
             request.body,
             left_ms,
         )
-        return self.forward(order)
+        return self.forward(forwarded_request)
 
     def _check_retry(self, error, request, budget):
         """Return if a request may be retried after a failed exchange; raise otherwise.
@@ -497,7 +501,7 @@
 
 
 def _outcome_of(result):
-    """Return the outcome of an exchange as the gate accounts for it."""
+    """Return the outcome of an exchange as the limiter accounts for it."""
     if is_successful(result):
         answer = result.unwrap()
         if answer.header(OUTCOME_HEADER) != NOT_RUN:
--- a/src/tarragonramp/roles/gatekeeper.py
+++ b/src/tarragonramp/roles/gatekeeper.py
@@ -1,4 +1,8 @@
-"""Takes callers' requests to servers that only their steward may send to."""
+"""Forwards callers' requests through a server's steward.
+
+Needed for servers that only their steward may send to: those that don't check grants,
+and any server in a cold start.
+"""
 
 import attrs
 from gevent.event import Event
@@ -17,16 +21,16 @@
 
 __all__ = ["Forwarder", "GateKeeper"]
 
-STALE_ROUTE = 409
-BUSY = 503
+STALE_ROUTE_STATUS = 409
+BUSY_STATUS = 503
 TERM_HEADER = "Tarragon-Term"
-LOOK_AGAIN_MS = 50.0
-SHARED_WAIT_MS = 100.0
+POLL_INTERVAL_MS = 50.0
+SHARED_QUEUE_WAIT_MS = 100.0
 
 
 @attrs.define(eq=False, repr=False)
 class GateKeeper:
-    """The steward's side: the only one that sends to its gated servers.
+    """The steward's side: sends forwarded requests to the servers it manages.
 
     Parameters
     ----------
@@ -34,9 +38,10 @@
     view : View
     keeper : TermKeeper
     pools : HttpPools
-        Must discard what was not delivered within a right.
+        Must discard data that was not delivered within the length of a right.
     control_pools : HttpPools
-        Those of probes: a restart closes their connections too.
+        Pools of the probes. Their connections are closed by a server's restart too,
+        which reveals it early.
     clock : Clock
     """
 
@@ -46,48 +51,51 @@
     pools: object
     control_pools: object
     clock: object
-    _changed: Event = attrs.Factory(Event)
+    _slot_freed: Event = attrs.Factory(Event)
 
-    def serve(self, order) -> Result:
-        """Send a request to its server, if this daemon may.
+    def serve(self, request) -> Result:
+        """Send a forwarded request to its server, if this daemon is its steward.
 
         Parameters
         ----------
-        order : Order
+        request : Order
 
         Returns
         -------
         answer : Success of Answer, or Failure of ExchangeError
-            A refusal is an answer that says "not run".
+            A refusal is a response with the outcome "not run".
         """
-        deadline_at_ms = self.clock.now_ms() + order.deadline_ms
-        role = steward_role(order.team, order.service, order.server)
-        charge = self.stewards.charge(role)
-        if charge is None:
-            return _refused(order, STALE_ROUTE, "not this server's steward")
+        deadline_at_ms = self.clock.now_ms() + request.deadline_ms
+        role = steward_role(request.team, request.service, request.server)
+        managed = self.stewards.managed_server(role)
+        if managed is None:
+            return _refusal(request, STALE_ROUTE_STATUS, "not this server's steward")
         pools = (self.pools, self.control_pools)
-        if any(pool.at(charge.vm.address).has_lost_idle() for pool in pools):
-            charge.gate.warmth.suspect()
+        if any(pool.at(managed.vm.address).has_lost_idle() for pool in pools):
+            managed.gate.warmth.suspect()
         wait_until_ms = deadline_at_ms
-        if order.slice_index < 0:
-            # Another server can take what has no owner.
-            wait_until_ms = min(deadline_at_ms, self.clock.now_ms() + SHARED_WAIT_MS)
-        if not self._wait(charge.gate, wait_until_ms):
-            return _refused(order, BUSY, "server is busy")
-        # Nothing waits from here to the sending: what is read now still holds then.
-        held = self._held(charge, order)
+        if request.slice_index < 0:
+            # Requests to shared services can be retried at another server.
+            wait_until_ms = min(
+                deadline_at_ms, self.clock.now_ms() + SHARED_QUEUE_WAIT_MS
+            )
+        if not self._wait_for_slot(managed.gate, wait_until_ms):
+            return _refusal(request, BUSY_STATUS, "server is busy")
+        # Nothing blocks from here to the sending, so the state read now is still
+        # current then.
+        held = self._permitting_term(managed, request)
         if held is None:
-            return _refused(order, STALE_ROUTE, "not the owner's steward")
+            return _refusal(request, STALE_ROUTE_STATUS, "not the owner's steward")
         now_ms = self.clock.now_ms()
-        admission = charge.gate.admit(
-            order.slice_index, now_ms, deadline_at_ms, held.right_until_ms
+        admission = managed.gate.admit(
+            request.slice_index, now_ms, deadline_at_ms, held.right_until_ms
         )
         if not admission.timeout_ms:
-            return _refused(order, BUSY, admission.reason)
-        return self._send(charge, order, admission.timeout_ms, now_ms)
+            return _refusal(request, BUSY_STATUS, admission.reason)
+        return self._send(managed, request, admission.timeout_ms, now_ms)
 
-    def _wait(self, gate, deadline_at_ms):
-        """Wait for a slot; False if there is none in time."""
+    def _wait_for_slot(self, gate, deadline_at_ms):
+        """Wait for a free slot of the server; False if none is free in time."""
         if not gate.is_full(self.clock.now_ms()):
             return True
         if gate.is_crowded:
@@ -95,84 +103,88 @@
         gate.waiting += 1
         try:
             while gate.is_full(now_ms := self.clock.now_ms()):
-                left_ms = min(deadline_at_ms - now_ms, LOOK_AGAIN_MS)
+                left_ms = min(deadline_at_ms - now_ms, POLL_INTERVAL_MS)
                 if left_ms <= 0:
                     return False
-                self._changed.wait(left_ms / 1000.0)
+                self._slot_freed.wait(left_ms / 1000.0)
             return True
         finally:
             gate.waiting -= 1
 
-    def _held(self, charge, order):
-        """Return the held term if the order's server owns its key under it."""
-        state = self.keeper.holding(charge.role)
-        term = charge.ledger.term
+    def _permitting_term(self, managed, request):
+        """Return the held term if it permits this request to the server, else None.
+
+        A request of a divided service is permitted only if the server is the
+        registered owner of its slice, with the same fencing token.
+        """
+        state = self.keeper.holding(managed.role)
+        term = managed.ledger.term
         if state is None or state.held.number != term:
             return None
-        if order.slice_index < 0:
+        if request.slice_index < 0:
             return state.held
-        assignment = self.view.assignment(order.team, order.service)
-        if not may_grant(assignment, order.server, term):
+        assignment = self.view.assignment(request.team, request.service)
+        if not may_grant(assignment, request.server, term):
             return None
-        if order.slice_index >= len(assignment.slices):
+        if request.slice_index >= len(assignment.slices):
             return None
-        item = assignment.slices[order.slice_index]
-        wanted = (OWNED, order.server, order.token)
+        item = assignment.slices[request.slice_index]
+        wanted = (OWNED, request.server, request.token)
         return state.held if (item.state, item.server, item.token) == wanted else None
 
-    def _send(self, charge, order, timeout_ms, admitted_ms):
-        """Send a request that was admitted at a time, unless that is too long ago.
+    def _send(self, managed, request, timeout_ms, admitted_ms):
+        """Send an admitted request, unless its time-out has passed since admission.
 
-        Guards against a steward that stands still between the two, and thaws when its
-        successor sends to the server.
+        Guards against a steward process that is paused between admission and sending,
+        and resumes when its successor already sends to the server.
         """
         until_ms = admitted_ms + timeout_ms
         headers = [
-            *order.headers,
+            *request.headers,
             ("Tarragon-Deadline-Ms", str(int(timeout_ms))),
-            (TERM_HEADER, str(charge.ledger.term)),
+            (TERM_HEADER, str(managed.ledger.term)),
         ]
         ended = False
         try:
-            pool = self.pools.at(charge.vm.address)
+            pool = self.pools.at(managed.vm.address)
             result = pool.exchange(
-                order.method,
-                order.target,
+                request.method,
+                request.target,
                 headers,
-                order.body,
+                request.body,
                 timeout_ms,
                 may_send=lambda: self.clock.now_ms() < until_ms,
             )
             ended = is_successful(result) or isinstance(result.failure(), NotSentError)
-            return result.map(lambda answer: self._judged(charge, answer))
+            return result.map(lambda answer: self._mark_direct(managed, answer))
         finally:
             if ended:
-                charge.gate.answered(order.slice_index)
+                managed.gate.answered(request.slice_index)
             else:
-                charge.gate.warmth.suspect()
-                charge.gate.unanswered(order.slice_index, self.clock.now_ms())
-            self._wake()
+                managed.gate.warmth.suspect()
+                managed.gate.unanswered(request.slice_index, self.clock.now_ms())
+            self._wake_waiting()
 
-    def _judged(self, charge, answer):
-        """Return the answer, marked if the entry may send to the server itself."""
+    def _mark_direct(self, managed, answer):
+        """Return a response, marked if the entry may send to the server directly."""
         now_ms = self.clock.now_ms()
-        warmth = charge.gate.warmth
-        if answer.header(OUTCOME_HEADER) == NOT_RUN and answer.status == BUSY:
+        warmth = managed.gate.warmth
+        if answer.header(OUTCOME_HEADER) == NOT_RUN and answer.status == BUSY_STATUS:
             warmth.shed(now_ms)
         if answer.header(COLD_HEADER):
             warmth.suspect()
-        if not charge.checks or not warmth.is_warm(now_ms):
+        if not managed.checks or not warmth.is_warm(now_ms):
             return answer
         return attrs.evolve(answer, headers=(*answer.headers, (DIRECT_HEADER, "1")))
 
-    def _wake(self):
-        changed, self._changed = self._changed, Event()
+    def _wake_waiting(self):
+        changed, self._slot_freed = self._slot_freed, Event()
         changed.set()
 
 
 @attrs.define(eq=False, repr=False)
 class Forwarder:
-    """The entry's side: finds the steward of a server.
+    """The entry's side: sends a request to the steward of its server.
 
     Parameters
     ----------
@@ -187,26 +199,28 @@
     peers: object
     gatekeeper: object
 
-    def send(self, order: Order) -> Result:
-        """Have the server's steward send a request; returns as it does."""
-        term = self.view.term(steward_role(order.team, order.service, order.server))
+    def send(self, request: Order) -> Result:
+        """Send a request through the server's steward; returns the steward's result."""
+        term = self.view.term(
+            steward_role(request.team, request.service, request.server)
+        )
         if term is None or not term.holder:
             return Failure(NotSentError("the server has no steward"))
         if term.holder == self.me.identity:
-            return self.gatekeeper.serve(order)
+            return self.gatekeeper.serve(request)
         member = self.view.member_of(term.holder)
         if member is None:
             return Failure(NotSentError("the server's steward is not known"))
-        return self.peers.forward(member.peer_address, order)
+        return self.peers.forward(member.peer_address, request)
 
 
-def _refused(order, status, reason):
+def _refusal(request, status, reason):
     log_event(
         "steward-refused",
-        request=dict(order.headers).get("X-Request-Id", ""),
-        server=order.server,
-        slice=order.slice_index,
-        token=order.token,
+        request=dict(request.headers).get("X-Request-Id", ""),
+        server=request.server,
+        slice=request.slice_index,
+        token=request.token,
         reason=reason,
     )
     body = f"not run: {reason}\n".encode()
--- a/src/tarragonramp/roles/steward.py
+++ b/src/tarragonramp/roles/steward.py
@@ -1,4 +1,4 @@
-"""Renews the grants of one backend server and proves releases."""
+"""Steward role: renews the grants of backend servers and proves their release."""
 
 import uuid
 
@@ -20,18 +20,18 @@
 
 TICK_MS = 50
 STEWARD_PREFIX = "steward."
-SILENCE_SHARE = 0.75
-"""How much of a grant's length a server may be silent before its keys are moved.
+SILENCE_FRACTION = 0.75
+"""Fraction of a grant's length for which a server may be silent before it is reported.
 
-Load: a machine or a link that is slow for a moment, with probes that time out. Harm
-prevented: keys taken from a server that is there. Its last grant runs for longer than
-this in any case, so that waiting costs callers nothing; a whole length would.
+Below one, so that the report does not delay the move of the server's keys: its last
+grant runs for longer than this in any case. Large enough that a slow machine or link,
+with a few probes timing out, does not lose its keys.
 """
 
 
 @attrs.define
-class _Charge:
-    """One backend server that this daemon is steward of."""
+class _ManagedServer:
+    """A backend server that this daemon is steward of, with its grants and gate."""
 
     vm: object
     role: str
@@ -40,16 +40,16 @@
     gate: Gate
     checks: bool
     condition: str = UNKNOWN
-    answered_ms: float = 0.0
-    reported: tuple = ()
-    reporting: bool = False
-    seen_version: int = 0
+    last_answer_ms: float = 0.0
+    last_report_key: tuple = ()
+    report_in_flight: bool = False
+    seen_assignment_version: int = 0
     changed: Event = attrs.Factory(Event)
 
 
 @attrs.define(eq=False, repr=False)
 class Stewards:
-    """The steward role of this daemon, for all its backend servers.
+    """The steward role of this daemon, for all backend servers whose terms it holds.
 
     Parameters
     ----------
@@ -62,8 +62,8 @@
     clock : Clock
     timing : Timing
     knows_warm : callable
-        ``knows_warm(server, address) -> bool``: whether this daemon sends to a server
-        by itself, as one that is warm.
+        ``knows_warm(server, address) -> bool``: whether this daemon's entry role sends
+        to a server directly, because it was reported warm.
     """
 
     me: object
@@ -75,67 +75,74 @@
     clock: object
     timing: object
     knows_warm: object = lambda server, address: False
-    _charges: dict = attrs.Factory(dict)
+    _managed_servers: dict = attrs.Factory(dict)
 
     def run(self):
-        """Start and stop the task of each server, for ever."""
-        self.view.on_change(self._wake)
+        """Start a renewal task for each steward term held here. Never returns."""
+        self.view.on_change(self._on_view_change)
         while True:
-            # Looks through the VMs only for a term that has no task yet: there may be
-            # thousands of VMs, and a tick is short.
-            begun = all(role in self._charges for role in self._held())
-            for vm in () if begun else list(self.view.vms.values()):
+            # Scan the VMs only if a held term has no task yet: there may be thousands
+            # of VMs, and a tick is short.
+            all_started = all(
+                role in self._managed_servers for role in self._held_steward_roles()
+            )
+            for vm in () if all_started else list(self.view.vms.values()):
                 role = steward_role(vm.team, vm.service, vm.name)
                 service = self.view.services().get((vm.team, vm.service))
                 wanted = service is not None and self.keeper.holding(role)
-                if wanted and role not in self._charges:
-                    self._charges[role] = self._new_charge(vm, role, service)
-                    gevent.spawn(self._attend, self._charges[role])
+                if wanted and role not in self._managed_servers:
+                    self._managed_servers[role] = self._new_managed_server(
+                        vm, role, service
+                    )
+                    gevent.spawn(
+                        self._renew_until_term_ends, self._managed_servers[role]
+                    )
             gevent.sleep(TICK_MS / 1000.0)
 
-    def _held(self):
+    def _held_steward_roles(self):
         return [r for r in self.keeper.holdings if r.startswith(STEWARD_PREFIX)]
 
     def conditions(self):
-        """Return how many backend servers looked after here are in each condition."""
+        """Return the number of backend servers managed here, by condition."""
         counts = dict.fromkeys((UP, SILENT, UNKNOWN), 0)
-        for charge in self._charges.values():
-            counts[charge.condition] += 1
+        for managed in self._managed_servers.values():
+            counts[managed.condition] += 1
         return counts
 
-    def prove_release(self, question):
-        """Answer a planner.
+    def prove_release(self, request):
+        """Return which of the requested slices are proved to be released.
 
         Parameters
         ----------
-        question : ReleaseRequest
+        request : ReleaseRequest
 
         Returns
         -------
         released : list of int
-            Slices without an owner at the server, for as long as this steward's
-            term is the one the assignment shows.
+            Slices that the server does not own. Valid as long as the assignment names
+            this steward's term.
         proof : str
+            Kinds of proof, comma-separated.
         """
-        role = steward_role(question.team, question.service, question.server)
-        charge = self.charge(role)
-        if charge is None or charge.ledger.term != question.steward_term:
+        role = steward_role(request.team, request.service, request.server)
+        managed = self.managed_server(role)
+        if managed is None or managed.ledger.term != request.steward_term:
             return [], ""
-        name = assignment_name(question.team, question.service)
-        if self.view.version_of(KIND_ASSIGNMENT, name) < question.assignment_version:
+        name = assignment_name(request.team, request.service)
+        if self.view.version_of(KIND_ASSIGNMENT, name) < request.assignment_version:
             return [], ""
-        proofs = {i: self._released(charge, i) for i in question.slices}
+        proofs = {i: self._release_proof(managed, i) for i in request.slices}
         released = [i for i, proof in proofs.items() if proof]
         return released, ",".join(sorted({p for p in proofs.values() if p}))
 
-    def charge(self, role):
-        """Return the server that this daemon looks after in a role, or None."""
-        return self._charges.get(role)
+    def managed_server(self, role):
+        """Return the server managed here under a role, or None."""
+        return self._managed_servers.get(role)
 
-    def _released(self, charge, index):
-        if not charge.checks:
-            return charge.gate.released(index)
-        return charge.ledger.released(index, self.clock.now_ms())
+    def _release_proof(self, managed, index):
+        if not managed.checks:
+            return managed.gate.released(index)
+        return managed.ledger.released(index, self.clock.now_ms())
 
     def _new_gate(self, vm, service, held, right_ends_ms, checks):
         return Gate(
@@ -150,7 +157,7 @@
             checks,
         )
 
-    def _new_charge(self, vm, role, service):
+    def _new_managed_server(self, vm, role, service):
         state = self.keeper.holding(role)
         right_ends_ms = state.earlier_right_ends_ms
         inherited_end_ms = right_ends_ms + END_MARGIN_MS
@@ -167,108 +174,108 @@
         )
         checks = service.checks_grants or not service.divided
         gate = self._new_gate(vm, service, state.held, right_ends_ms, checks)
-        return _Charge(
-            vm, role, service, ledger, gate, checks, answered_ms=self.clock.now_ms()
+        return _ManagedServer(
+            vm, role, service, ledger, gate, checks, last_answer_ms=self.clock.now_ms()
         )
 
-    def _attend(self, charge):
-        log_event("steward-began", role=charge.role, term=charge.ledger.term)
-        while self._holds(charge):
-            charge.changed.clear()
-            self._refresh(charge)
+    def _renew_until_term_ends(self, managed):
+        log_event("steward-began", role=managed.role, term=managed.ledger.term)
+        while self._holds_term(managed):
+            managed.changed.clear()
+            self._refresh(managed)
             try:
-                self._exchange(charge)
+                self._renew_or_probe(managed)
             except Exception as error:
-                # The ledger must outlive an unforeseen error: a new one for the same
+                # Keep the ledger after an unexpected error: a new one for the same
                 # term would not know what has been granted.
-                log_event("steward-failed", role=charge.role, error=repr(error))
-            self._report(charge)
-            charge.changed.wait(charge.service.renewal_ms / 1000.0)
-        del self._charges[charge.role]
-        log_event("steward-ended", role=charge.role, term=charge.ledger.term)
-
-    def _refresh(self, charge):
-        """Follow changes of the service's settings and of the server's address."""
-        vm = self.view.vms.get(charge.vm.name)
-        if vm is not None and vm.address != charge.vm.address:
-            charge.ledger.moved(self.clock.now_ms())
-            charge.gate.moved(self.clock.now_ms())
-        charge.vm = vm or charge.vm
-        found = self.view.services().get((charge.vm.team, charge.vm.service))
-        charge.service = found or charge.service
-
-    def _holds(self, charge):
-        state = self.keeper.holding(charge.role)
-        return state is not None and state.held.number == charge.ledger.term
-
-    def _exchange(self, charge):
-        """Renew the grant, or only ask for the clock."""
-        registered = charge.service.divided and self._is_registered(charge)
-        # Registering may wait. One reading from here on, both for the right and for
-        # the end: a pause after it cannot make the grant outlast the right by more
-        # than a grant's length.
+                log_event("steward-failed", role=managed.role, error=repr(error))
+            self._report_condition(managed)
+            managed.changed.wait(managed.service.renewal_ms / 1000.0)
+        del self._managed_servers[managed.role]
+        log_event("steward-ended", role=managed.role, term=managed.ledger.term)
+
+    def _refresh(self, managed):
+        """Apply changes of the service's settings and of the server's address."""
+        vm = self.view.vms.get(managed.vm.name)
+        if vm is not None and vm.address != managed.vm.address:
+            managed.ledger.moved(self.clock.now_ms())
+            managed.gate.moved(self.clock.now_ms())
+        managed.vm = vm or managed.vm
+        found = self.view.services().get((managed.vm.team, managed.vm.service))
+        managed.service = found or managed.service
+
+    def _holds_term(self, managed):
+        state = self.keeper.holding(managed.role)
+        return state is not None and state.held.number == managed.ledger.term
+
+    def _renew_or_probe(self, managed):
+        """Renew the grant, or only probe the server to read its clock."""
+        registered = managed.service.divided and self._ensure_registered(managed)
+        # Registering may block, so the clock is read after it. The same reading is used
+        # to check the right and to compute the grant's end: a pause after it cannot
+        # make the grant outlast the right by more than a grant's length.
         now_ms = self.clock.now_ms()
         grant = None
-        if registered and charge.checks and self._holds(charge):
-            grant = self._next_grant(charge, now_ms)
+        if registered and managed.checks and self._holds_term(managed):
+            grant = self._next_grant(managed, now_ms)
         timeout_ms = self.timing.control_timeout_ms
         if grant is None:
-            result = self.backends.probe(charge.vm.address, timeout_ms)
+            result = self.backends.probe(managed.vm.address, timeout_ms)
         else:
-            result = self.backends.grant(charge.vm.address, grant, timeout_ms)
+            result = self.backends.grant(managed.vm.address, grant, timeout_ms)
         if is_successful(result):
-            self._note_answer(charge, result.unwrap(), now_ms)
+            self._note_answer(managed, result.unwrap(), now_ms)
             return
         if grant is not None and isinstance(result.failure(), NotSentError):
-            charge.ledger.not_sent()
-        quiet_ms = self.clock.now_ms() - charge.answered_ms
-        if quiet_ms > charge.service.grant_ms * SILENCE_SHARE:
-            self._set_condition(charge, SILENT)
+            managed.ledger.not_sent()
+        silent_ms = self.clock.now_ms() - managed.last_answer_ms
+        if silent_ms > managed.service.grant_ms * SILENCE_FRACTION:
+            self._set_condition(managed, SILENT)
 
-    def _next_grant(self, charge, now_ms):
-        held = self.keeper.holding(charge.role).held
+    def _next_grant(self, managed, now_ms):
+        held = self.keeper.holding(managed.role).held
         if not held.may_last(now_ms):
             return None
-        vm = charge.vm
+        vm = managed.vm
         tokens = tokens_of(self.view.assignment(vm.team, vm.service), vm.name)
         known_only = not held.may_act(now_ms)
-        return charge.ledger.next_grant(tokens, now_ms, known_only)
+        return managed.ledger.next_grant(tokens, now_ms, known_only)
 
-    def _note_answer(self, charge, answer, sent_ms):
+    def _note_answer(self, managed, answer, sent_ms):
         arrived_ms = self.clock.now_ms()
-        first = not charge.ledger.boot_id
-        restarted = charge.ledger.observe(answer, sent_ms, arrived_ms)
-        charge.answered_ms = arrived_ms
-        charge.gate.observe(answer.boot_id, sent_ms, arrived_ms)
-        charge.gate.warmth.observe(answer.boot_id, answer.cold, arrived_ms)
-        if charge.ledger.fenced and self._holds(charge):
-            held = self.keeper.holding(charge.role).held
+        is_first = not managed.ledger.boot_id
+        restarted = managed.ledger.observe(answer, sent_ms, arrived_ms)
+        managed.last_answer_ms = arrived_ms
+        managed.gate.observe(answer.boot_id, sent_ms, arrived_ms)
+        managed.gate.warmth.observe(answer.boot_id, answer.cold, arrived_ms)
+        if managed.ledger.fenced and self._holds_term(managed):
+            held = self.keeper.holding(managed.role).held
             held.unbounded = False
-            held.longest_grant_ms = charge.ledger.grant_ms
-        self._set_condition(charge, UP)
+            held.longest_grant_ms = managed.ledger.grant_ms
+        self._set_condition(managed, UP)
         if restarted:
-            log_event("server-restarted", server=charge.vm.name, boot=answer.boot_id)
-        if first or restarted:
-            charge.changed.set()
+            log_event("server-restarted", server=managed.vm.name, boot=answer.boot_id)
+        if is_first or restarted:
+            managed.changed.set()
 
-    def _set_condition(self, charge, condition):
-        if charge.condition == condition:
+    def _set_condition(self, managed, condition):
+        if managed.condition == condition:
             return
         log_event(
             "server-condition",
-            server=charge.vm.name,
+            server=managed.vm.name,
             condition=condition,
-            before=charge.condition,
+            before=managed.condition,
         )
-        charge.condition = condition
+        managed.condition = condition
 
-    def _is_registered(self, charge):
-        """Make the assignment show this steward's term before anything is granted."""
-        vm = charge.vm
+    def _ensure_registered(self, managed):
+        """Write this steward's term into the assignment before granting anything."""
+        vm = managed.vm
         assignment = self.view.assignment(vm.team, vm.service)
-        new = registration(assignment, vm.name, charge.ledger.term, uuid.uuid4().hex)
+        new = registration(assignment, vm.name, managed.ledger.term, uuid.uuid4().hex)
         if new is None:
-            return may_grant(assignment, vm.name, charge.ledger.term)
+            return may_grant(assignment, vm.name, managed.ledger.term)
         name = assignment_name(vm.team, vm.service)
         version = self.view.version_of(KIND_ASSIGNMENT, name)
         result = self.platform.put(KIND_ASSIGNMENT, name, new.to_spec(), version)
@@ -278,49 +285,52 @@
         error = result.failure()
         if isinstance(error, ConflictError) and error.current is not None:
             self.view.apply(error.current)
-        charge.changed.set()
+        managed.changed.set()
         return False
 
-    def _report(self, charge):
-        """Tell the planner once about each change, until it has taken it in."""
-        planner = self.view.term(planner_role(charge.vm.team))
-        if planner is None or charge.condition == UNKNOWN:
+    def _report_condition(self, managed):
+        """Report a change of condition to the planner, until it is accepted once."""
+        planner = self.view.term(planner_role(managed.vm.team))
+        if planner is None or managed.condition == UNKNOWN:
             return
-        news = (planner.number, charge.condition, charge.ledger.boot_id)
-        if news == charge.reported or charge.reporting:
+        report_key = (planner.number, managed.condition, managed.ledger.boot_id)
+        if report_key == managed.last_report_key or managed.report_in_flight:
             return
         member = self.view.member_of(planner.holder)
         if member is None:
             return
         report = {
-            "team": charge.vm.team,
-            "service": charge.vm.service,
-            "server": charge.vm.name,
-            "boot_id": charge.ledger.boot_id,
-            "condition": charge.condition,
-            "term": charge.ledger.term,
+            "team": managed.vm.team,
+            "service": managed.vm.service,
+            "server": managed.vm.name,
+            "boot_id": managed.ledger.boot_id,
+            "condition": managed.condition,
+            "term": managed.ledger.term,
         }
-        # Apart from the renewals: a planner that is frozen must not delay them.
-        charge.reporting = True
-        gevent.spawn(self._send_report, charge, member.peer_address, report, news)
+        # Sent from a greenlet of its own: an unresponsive planner must not delay
+        # renewals.
+        managed.report_in_flight = True
+        gevent.spawn(
+            self._send_report, managed, member.peer_address, report, report_key
+        )
 
-    def _send_report(self, charge, address, report, news):
+    def _send_report(self, managed, address, report, report_key):
         try:
             result = self.peers.report(address, self.me.identity, [report])
             if result.value_or(False):
-                charge.reported = news
+                managed.last_report_key = report_key
         finally:
-            charge.reporting = False
+            managed.report_in_flight = False
 
-    def _wake(self):
-        """Look at once at servers whose assignment has changed.
+    def _on_view_change(self):
+        """Trigger an immediate renewal for servers whose assignment has changed.
 
-        Load: terms, members and VM lists of a large fleet change all the time. Harm
-        prevented: a renewal to every server for each of these changes.
+        Other changes are ignored: terms, members and VM lists of a large fleet change
+        all the time, and each change would cause a renewal to every server.
         """
-        for charge in self._charges.values():
-            name = assignment_name(charge.vm.team, charge.vm.service)
+        for managed in self._managed_servers.values():
+            name = assignment_name(managed.vm.team, managed.vm.service)
             version = self.view.version_of(KIND_ASSIGNMENT, name)
-            if version != charge.seen_version:
-                charge.seen_version = version
-                charge.changed.set()
+            if version != managed.seen_assignment_version:
+                managed.seen_assignment_version = version
+                managed.changed.set()
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -213,7 +213,7 @@
             self.assertEqual(outcome, (504, "unknown"))
             self.assertGreater(took_ms, wanted_ms - 20)
             self.assertLess(took_ms, wanted_ms + 300)
-            self.entry._ejections.clear()
+            self.entry._outlier_detectors.clear()
         self.assertIn("Tarragon-Deadline-Ms: 1", server.requests[0])
         bad = [("X-Request-Timeout-Ms", "soon")]
         self.assertEqual(self.call("GET", "/pages", bad).status, 400)
--- a/tests/test_gatekeeper.py
+++ b/tests/test_gatekeeper.py
@@ -1,4 +1,4 @@
-"""The steward's way to its servers, which a script plays."""
+"""Tests of the steward's side of forwarding, against a scripted connection pool."""
 
 import types
 import unittest
@@ -11,16 +11,16 @@
 from tarragonramp.gates import Gate, Order, Warmth
 from tarragonramp.roles.gatekeeper import GateKeeper
 
-ORDER = Order("t", "desk", "s1", -1, 0, "POST", "/x", (), b"", 5000.0)
+REQUEST = Order("t", "desk", "s1", -1, 0, "POST", "/x", (), b"", 5000.0)
 
 
 class GateKeeperTest(unittest.TestCase):
-    """One server, a right of 800 ms, and a process that may stand still."""
+    """One server, a right of 800 ms, and a process that may be paused."""
 
     def setUp(self):
         self.clock, self.pause_ms, self.n_sent = ManualClock(10_000.0), 0.0, 0
         warmth = Warmth(3, 3)
-        self.charge = types.SimpleNamespace(
+        self.managed_server = types.SimpleNamespace(
             gate=Gate(warmth, 800.0, 0.0, 800.0),
             vm=types.SimpleNamespace(address="s1:80"),
             ledger=types.SimpleNamespace(term=1),
@@ -29,7 +29,7 @@
         )
         held = types.SimpleNamespace(number=1, right_until_ms=10_800.0)
         self.gatekeeper = GateKeeper(
-            types.SimpleNamespace(charge=lambda role: self.charge),
+            types.SimpleNamespace(managed_server=lambda role: self.managed_server),
             None,
             types.SimpleNamespace(
                 holding=lambda role: types.SimpleNamespace(held=held)
@@ -40,11 +40,11 @@
         )
 
     def has_lost_idle(self):
-        """Tell whether the kept connection was closed."""
+        """Return whether the server has closed the idle connection."""
         return False
 
     def exchange(self, *request, may_send):
-        """Stand still before the first byte, as a process that is stopped."""
+        """Simulate a process pause before the first byte is sent."""
         self.clock.advance(self.pause_ms)
         if not may_send():
             return Failure(NotSentError("too late"))
@@ -53,12 +53,16 @@
 
     def test_a_request_is_sent_within_the_right(self):
         self.pause_ms = 799.0
-        self.assertEqual(self.gatekeeper.serve(ORDER).unwrap().status, 200)
+        self.assertEqual(self.gatekeeper.serve(REQUEST).unwrap().status, 200)
         self.assertEqual(self.n_sent, 1)
 
-    def test_a_steward_that_stood_still_after_it_decided_sends_nothing(self):
-        """Guards against requests of an earlier term after those of the next."""
+    def test_a_steward_paused_after_its_decision_sends_nothing(self):
+        """A steward is paused between its decision to send and the sending.
+
+        Sent after the right's end, its request could reach the server after those of
+        the next term.
+        """
         self.pause_ms = 800.0
-        result = self.gatekeeper.serve(ORDER)
+        result = self.gatekeeper.serve(REQUEST)
         self.assertIsInstance(result.failure(), NotSentError)
-        self.assertEqual((self.n_sent, self.charge.gate.in_hand), (0, 0))
+        self.assertEqual((self.n_sent, self.managed_server.gate.in_hand), (0, 0))
