--- a/src/tarragonramp/roles/control.py
+++ b/src/tarragonramp/roles/control.py
@@ -88,11 +88,11 @@
     def _word(self, question):
         """Return this daemon's word to a neighbour that pings it."""
         asked = question["identity"]
-        self.membership.heard(asked)
+        self.membership.record_ping(asked)
         self.news.heard(asked.partition("#")[0], question.get("newest", 0))
         return {
             "identity": self.me.identity,
-            "taken": self.keeper.taken_from(asked),
+            "taken": self.keeper.revoked_terms(asked),
             "newest": self.view.newest,
             "leaving": self.is_leaving(),
         }
--- a/src/tarragonramp/roles/membership.py
+++ b/src/tarragonramp/roles/membership.py
@@ -1,4 +1,4 @@
-"""Registers this daemon and watches its ring neighbours."""
+"""Registers this daemon and monitors its ring neighbours by pings."""
 
 import random
 
@@ -13,13 +13,13 @@
 
 __all__ = ["Membership"]
 
-OUTSIDE_EVERY = 8
+REMOTE_PING_ROUNDS = 8
 REGISTER_RETRY_MS = 200
 
 
 @attrs.define(eq=False, repr=False)
 class Membership:
-    """This daemon among the others.
+    """This daemon's registration, and its failure detector for the others.
 
     Parameters
     ----------
@@ -29,8 +29,11 @@
     peers : Peers
     clock : Clock
     timing : Timing
-    on_word, on_newest : callable
-        Called with what a ping's answer says.
+    on_word : callable
+        ``on_word(PingAnswer, sent_ms)``, called with each answer to a ping.
+    on_newest : callable
+        ``on_newest(name, version)``, called with the newest platform version that the
+        answering daemon has seen.
     named : callable
         Returns the identities that the terms held here name as successors.
     """
@@ -44,22 +47,22 @@
     on_word: object = None
     on_newest: object = None
     named: object = set
-    taken_from: object = None
-    _heard_ms: dict = attrs.Factory(dict)
-    _missed: dict = attrs.Factory(dict)
+    revoked_terms: object = None
+    _last_ping_ms: dict = attrs.Factory(dict)
+    _missed_pings: dict = attrs.Factory(dict)
     _rounds: int = 0
-    _pinging: dict = attrs.Factory(dict)
+    _pings_in_flight: dict = attrs.Factory(dict)
     _leaving: set = attrs.Factory(set)
-    _ring_of: object = None
+    _rings_members: object = None
     _rings: tuple = ()
 
     def register(self):
-        """Write this daemon into the platform, trying until it is there."""
+        """Write this daemon's registration to the platform, retrying as needed."""
         n_members = len(self.view.members())
         gevent.sleep(start_delay_ms(n_members, random.random()) / 1000.0)
         while True:
             version = self.view.version_of(KIND_MEMBER, self.me.name)
-            self._note_predecessor(self.view.get(KIND_MEMBER, self.me.name))
+            self._record_predecessor(self.view.get(KIND_MEMBER, self.me.name))
             result = self.platform.put(
                 KIND_MEMBER, self.me.name, attrs.asdict(self.me), version
             )
@@ -73,8 +76,8 @@
                     return
             gevent.sleep(REGISTER_RETRY_MS / 1000.0)
 
-    def _note_predecessor(self, earlier):
-        """List an earlier process of this name that may still run."""
+    def _record_predecessor(self, earlier):
+        """Record an earlier process of this name, if it may still run."""
         if earlier is None or earlier.identity == self.me.identity:
             return
         unproven = earlier.unproven
@@ -84,9 +87,10 @@
         self.me = attrs.evolve(self.me, unproven=unproven)
 
     def unregister(self):
-        """Remove this daemon from the platform; try once.
+        """Delete this daemon's registration, in one attempt.
 
-        It stays if it has unproven predecessors: they would pass for departed.
+        Kept if the end of a predecessor is not proved: without the registration that
+        lists it, that process would count as departed.
 
         Returns
         -------
@@ -101,10 +105,10 @@
         return is_successful(result)
 
     def successor(self, same_domain_only):
-        """Return the identity of the next daemon on the ring that answers.
+        """Return the identity of the next daemon on the ring that answers pings.
 
-        Daemons of other failure domains come first where they may: a role that is
-        not bound to a failure domain must survive the loss of its own.
+        Unless excluded, daemons of other failure domains come first: a role that is
+        not bound to a failure domain must survive the loss of its holder's.
 
         Parameters
         ----------
@@ -114,53 +118,58 @@
         Returns
         -------
         identity : str
-            Empty if there is nobody.
+            Empty if there is none.
         """
         members = self.view.members()
         near, far = self._ring(members)
         names = near if same_domain_only else far + near
         for name in names:
             identity = members[name].identity
-            if not self.seems_down(identity) and not self.leaves(identity):
+            if not self.seems_down(identity) and not self.is_leaving(identity):
                 return identity
         return ""
 
     def _ring(self, members):
-        """Return the others' names, own failure domain and the rest, in ring order.
+        """Return the other daemons in ring order: own failure domain, and the rest.
 
-        Computed once for a set of members: it is asked for at every ping and tick.
+        Cached per set of members, as it is needed at every ping and tick.
         """
-        if self._ring_of is not members:
+        if self._rings_members is not members:
             own = self.me.failure_domain
             near = sorted(n for n, m in members.items() if m.failure_domain == own)
             far = sorted(n for n, m in members.items() if m.failure_domain != own)
-            self._ring_of = members
-            self._rings = tuple(_ring_after(self.me.name, part) for part in (near, far))
+            self._rings_members = members
+            self._rings = tuple(
+                _rotate_after(self.me.name, part) for part in (near, far)
+            )
         return self._rings
 
-    def heard(self, identity):
-        """Note a ping from another daemon."""
-        self._heard_ms[identity] = self.clock.now_ms()
+    def record_ping(self, identity):
+        """Record a ping from another daemon."""
+        self._last_ping_ms[identity] = self.clock.now_ms()
+
+    def last_ping_ms(self, identity):
+        """Return when a daemon last pinged this one.
 
-    def last_heard_ms(self, identity):
-        """Return when a daemon last pinged; first asked counts as heard."""
-        return self._heard_ms.setdefault(identity, self.clock.now_ms())
+        A daemon that has never pinged counts from the first call.
+        """
+        return self._last_ping_ms.setdefault(identity, self.clock.now_ms())
 
     def silent(self, identity):
-        """Tell whether a daemon that should ping this one has stopped."""
-        quiet_ms = self.clock.now_ms() - self.last_heard_ms(identity)
-        return quiet_ms > self.timing.silence_ms
+        """Return whether a daemon that should ping this one has stopped doing so."""
+        silent_ms = self.clock.now_ms() - self.last_ping_ms(identity)
+        return silent_ms > self.timing.silence_ms
 
     def seems_down(self, identity):
-        """Tell whether a daemon missed two pings in a row."""
-        return self._missed.get(identity, 0) >= 2
+        """Return whether a daemon failed to answer its last two pings."""
+        return self._missed_pings.get(identity, 0) >= 2
 
-    def leaves(self, identity):
-        """Tell whether a daemon said that it is about to stop."""
+    def is_leaving(self, identity):
+        """Return whether a daemon has announced that it is about to stop."""
         return identity in self._leaving
 
-    def departed(self, identity, named_at_version):
-        """Tell whether a process is known to be gone.
+    def is_departed(self, identity, named_at_version):
+        """Return whether a daemon process is known to have ended.
 
         Parameters
         ----------
@@ -170,21 +179,23 @@
         """
         name, _, boot_id = identity.partition("#")
         if name == self.me.name:
-            # A write of this daemon's predecessor may land after its successor's
-            # registration; this process knows which predecessors have ended.
+            # A late write of a predecessor may take effect after this process's
+            # registration, so versions do not tell. This process knows which of its
+            # predecessors have ended.
             return boot_id not in (self.me.boot_id, *self.me.unproven)
         member = self.view.get(KIND_MEMBER, name)
-        if member is not None and self._was_lost(member):
+        if member is not None and self._is_declared_lost(member):
             return True
         version = self.view.version_seen(KIND_MEMBER, name)
         return has_departed(identity, named_at_version, member, version)
 
-    def _was_lost(self, member):
-        """Tell whether an operator's word says that a daemon does not run any more.
+    def _is_declared_lost(self, member):
+        """Return whether an operator has declared a daemon's failure domain lost.
 
-        Without it, a role whose holder and successor were lost together would stay
-        with them. A daemon that registered after the word is a new one: taken for
-        gone, it and its neighbours would take each other's terms in turns.
+        Without that declaration, a role whose holder and successor were lost together
+        would stay with them. A daemon that registered after the declaration is a new
+        one: if it counted as lost, it and its neighbours would keep taking each
+        other's terms.
         """
         domain = member.failure_domain
         if not self.view.domain_lost(domain):
@@ -193,26 +204,28 @@
         return registered < self.view.version_seen(KIND_FAILURE_DOMAIN, domain)
 
     def run_pings(self):
-        """Ping the successors of the terms held here, for ever."""
+        """Ping the successors of the terms held here. Never returns."""
         while True:
-            for identity in self._successors():
-                if identity not in self._pinging:
+            for identity in self._identities_to_ping():
+                if identity not in self._pings_in_flight:
                     task = gevent.spawn(self._ping, identity)
-                    self._pinging[identity] = task
+                    self._pings_in_flight[identity] = task
             gevent.sleep(self.timing.ping_ms / 1000.0)
 
-    def _successors(self):
-        """Return whom to ping in this round.
+    def _identities_to_ping(self):
+        """Return the identities to ping in this round.
 
-        Load: each ping costs both sides. A right needs the word of the daemons that
-        its term names, and the next of the failure domain must be known to answer
-        before it is named; of outsiders that are not named, only now and then.
+        Pings cost both sides, so only necessary ones are sent: to the successors that
+        held terms name, since the rights depend on their confirmation; to daemons that
+        missed pings, until they answer; to the next daemon of the own failure domain,
+        which must be known to answer before it is named; and every few rounds to the
+        next daemon of any failure domain.
         """
         near = self.successor(True)
         found = {near} | self.named()
-        found |= {name for name in self._missed if self.view.member_of(name)}
+        found |= {name for name in self._missed_pings if self.view.member_of(name)}
         self._rounds += 1
-        if not near or self._rounds % OUTSIDE_EVERY == 0:
+        if not near or self._rounds % REMOTE_PING_ROUNDS == 0:
             found.add(self.successor(False))
         return found - {""}
 
@@ -220,30 +233,30 @@
         try:
             member = self.view.member_of(identity)
             if member is None:
-                self._missed.pop(identity, None)
+                self._missed_pings.pop(identity, None)
                 return
             sent_ms = self.clock.now_ms()
             result = self.peers.ping(
                 member.control_address, self.me.identity, self.view.newest
             )
             if not is_successful(result) or result.unwrap().identity != identity:
-                self._note_missed(identity)
+                self._record_missed_ping(identity)
                 return
             if result.unwrap().leaving:
                 self._leaving.add(identity)
-            if self._missed.pop(identity, 0) >= 2:
+            if self._missed_pings.pop(identity, 0) >= 2:
                 log_event("peer-back", peer=identity)
             self.on_word(result.unwrap(), sent_ms)
             self.on_newest(member.name, result.unwrap().newest)
         finally:
-            self._pinging.pop(identity, None)
+            self._pings_in_flight.pop(identity, None)
 
-    def _note_missed(self, identity):
-        self._missed[identity] = self._missed.get(identity, 0) + 1
-        if self._missed[identity] == 2:
+    def _record_missed_ping(self, identity):
+        self._missed_pings[identity] = self._missed_pings.get(identity, 0) + 1
+        if self._missed_pings[identity] == 2:
             log_event("peer-down", peer=identity)
 
 
-def _ring_after(name, names):
+def _rotate_after(name, names):
     others = [n for n in names if n != name]
     return [n for n in others if n > name] + [n for n in others if n < name]
--- a/src/tarragonramp/roles/terms.py
+++ b/src/tarragonramp/roles/terms.py
@@ -1,4 +1,4 @@
-"""Takes, keeps and hands over the terms of this daemon."""
+"""Claims, renews and hands over the terms of this daemon."""
 
 import uuid
 
@@ -17,15 +17,15 @@
 __all__ = ["TermKeeper"]
 
 TICK_MS = 50
-RANK_DELAY_MS = 700
-MAX_WRITES_AT_ONCE = 8
+CLAIM_STAGGER_MS = 700
+MAX_CONCURRENT_WRITES = 8
 HAND_OVER_TRIES = 3
 HAND_OVER_RETRY_MS = 100
 
 
 @attrs.define(eq=False, repr=False)
 class TermKeeper:
-    """All terms of one daemon.
+    """Manages all terms of one daemon.
 
     Parameters
     ----------
@@ -43,32 +43,38 @@
     timing: object
     leaving: bool = False
     stopping: bool = False
-    _changed: bool = True
+    _view_changed: bool = True
     _states: dict = attrs.Factory(dict)
     _unheld_since_ms: dict = attrs.Factory(dict)
     _named_since_ms: dict = attrs.Factory(dict)
-    _busy: set = attrs.Factory(set)
+    _writing: set = attrs.Factory(set)
 
     @property
     def holdings(self):
-        """Roles held here, each with its RoleTerm."""
+        """The RoleTerm of each role held here, by role."""
         return {r: s for r, s in self._states.items() if s.held is not None}
 
     def holding(self, role):
         """Return the RoleTerm of a role held here, or None.
 
-        What is None here may still be under way: only a held term gives any right.
+        A claim that is still in flight does not count: only a held term gives a right.
         """
         state = self._states.get(role)
         return state if state is not None and state.held is not None else None
 
     def may_act(self, role):
-        """Tell whether this daemon may act in a role at this moment."""
+        """Return whether this daemon may act in a role now."""
         state = self.holding(role)
         return state is not None and state.held.may_act(self.clock.now_ms())
 
-    def taken_from(self, identity):
-        """Return, by role, up to which number a daemon gets no word any more."""
+    def revoked_terms(self, identity):
+        """Return, by role, the highest term number that is not confirmed any more.
+
+        Parameters
+        ----------
+        identity : str
+            Of the holder that asks for confirmation.
+        """
         numbers = {r: s.revoked_for(identity) for r, s in self._states.items()}
         return {role: number for role, number in numbers.items() if number}
 
@@ -82,36 +88,49 @@
         return found
 
     def on_word(self, answer, sent_ms):
-        """Use a neighbour's word for all terms that name it."""
+        """Prolong the rights that the answer to a ping confirms.
+
+        Parameters
+        ----------
+        answer : PingAnswer
+        sent_ms : float
+            When the ping was sent.
+        """
         for role, state in self._states.items():
             held = state.held
             if held is not None and held.number > answer.taken.get(role, 0):
                 held.renewed_by_successor(answer.identity, sent_ms)
 
     def run(self):
-        """Look after all roles, for ever.
+        """Claim and renew terms. Never returns.
 
-        Load: with hundreds of VMs most roles are other daemons' and only a change of
-        the view can make them this one's business. Harm prevented: a scan of them all
-        at each tick, which alone would take more than a daemon's share of a core.
+        With hundreds of VMs most roles belong to other daemons, and only a change of
+        the view can require action here. So all roles are checked after a change, and
+        only the open ones at each tick: checking all of them at each tick takes more
+        than a daemon's share of a core.
         """
-        self.view.on_change(self._note_change)
+        self.view.on_change(self._on_view_change)
         open_roles = []
         while not self.stopping:
-            changed, self._changed = self._changed, False
+            changed, self._view_changed = self._view_changed, False
             roles = list(self._roles()) if changed else open_roles
             for role, vm in roles:
-                if role not in self._busy and len(self._busy) < MAX_WRITES_AT_ONCE:
-                    self._look_after(role, vm)
+                if (
+                    role not in self._writing
+                    and len(self._writing) < MAX_CONCURRENT_WRITES
+                ):
+                    self._check_role(role, vm)
             if changed:
-                open_roles = [(role, vm) for role, vm in roles if self._is_open(role)]
+                open_roles = [
+                    (role, vm) for role, vm in roles if self._may_need_action(role)
+                ]
             gevent.sleep(TICK_MS / 1000.0)
 
-    def _note_change(self):
-        self._changed = True
+    def _on_view_change(self):
+        self._view_changed = True
 
-    def _is_open(self, role):
-        """Tell whether time alone may make a role this daemon's business."""
+    def _may_need_action(self, role):
+        """Return whether a role may need action without a change of the view."""
         state, term = self._states.get(role), self.view.term(role)
         if state is not None and (state.held or state.claiming is not None):
             return True
@@ -120,17 +139,18 @@
         if self.membership.me.identity in (term.holder, term.successor):
             return True
         version = self.view.version_of(KIND_TERM, role)
-        return self.membership.departed(term.holder, version)
+        return self.membership.is_departed(term.holder, version)
 
     def leave(self):
-        """Take no further terms; keep those that are held."""
+        """Stop claiming terms; those that are held are still renewed."""
         self.leaving = True
 
     def hand_over_all(self, timeout_ms):
-        """Give every term to its successor, or to nobody, before a planned stop.
+        """Hand over every held term before a planned stop.
 
-        While the platform is down nobody else can take a term, and the servers'
-        grants would run out: so this daemon acts on until it answers, for a time.
+        Each goes to its successor, or is left without a holder. While the platform is
+        down no other daemon can take a term, and the servers' grants would expire: so
+        this daemon keeps acting until the platform answers or the time-out passes.
 
         Parameters
         ----------
@@ -140,8 +160,8 @@
         Returns
         -------
         all_handed : bool
-            False if the platform has not confirmed each of them; then this daemon
-            must stay registered, or nobody could learn that it has gone.
+            False if the platform has not confirmed each of them. Then this daemon
+            must stay registered, since its departure could not be detected otherwise.
         """
         until_ms = self.clock.now_ms() + timeout_ms
         while self.holdings and not self._platform_answers():
@@ -149,10 +169,10 @@
                 break
             gevent.sleep(HAND_OVER_RETRY_MS / 1000.0)
         self.stopping = True
-        targets = self._targets()
+        next_holders = self._next_holders()
         held = [state for state in self._states.values() if state.held is not None]
-        pool = gevent.pool.Pool(MAX_WRITES_AT_ONCE)
-        tasks = [pool.spawn(self._hand_over, s, targets[s.role]) for s in held]
+        pool = gevent.pool.Pool(MAX_CONCURRENT_WRITES)
+        tasks = [pool.spawn(self._hand_over, s, next_holders[s.role]) for s in held]
         gevent.joinall(tasks)
         return all(task.value for task in tasks) and not self._claims_in_doubt()
 
@@ -160,22 +180,29 @@
         result = self.platform.get(KIND_TERM, next(iter(self.holdings)))
         return is_successful(result)
 
-    def _targets(self):
-        """Return by role who is to have it: the successor, unless it goes too."""
+    def _next_holders(self):
+        """Return the next holder of each role held here.
+
+        That is the successor, or another candidate if the successor seems down or is
+        stopping too.
+        """
         vms = dict(self._roles())
-        targets = {}
+        next_holders = {}
         for role, state in self.holdings.items():
-            named = state.held.successor
-            if self.membership.seems_down(named) or self.membership.leaves(named):
-                named, _ = self._wanted(vms.get(role))
-            targets[role] = named
-        return targets
+            chosen = state.held.successor
+            if self.membership.seems_down(chosen) or self.membership.is_leaving(chosen):
+                chosen, _ = self._choose_successor(vms.get(role))
+            next_holders[role] = chosen
+        return next_holders
 
     def _claims_in_doubt(self):
         return any(state.claiming is not None for state in self._states.values())
 
     def _roles(self):
-        """Return roles to look after, each with the VM if it is a steward's."""
+        """Yield the roles that concern this daemon, each with its VM.
+
+        The VM is None for a planner's role.
+        """
         own = self.membership.me.failure_domain
         identity = self.membership.me.identity
         services = self.view.services()
@@ -184,13 +211,13 @@
                 continue
             role = steward_role(vm.team, vm.service, vm.name)
             term = self.view.term(role)
-            named = term is not None and identity in (term.holder, term.successor)
-            if vm.failure_domain == own or named or role in self._states:
+            is_named = term is not None and identity in (term.holder, term.successor)
+            if vm.failure_domain == own or is_named or role in self._states:
                 yield role, vm
         for team in {team for team, _ in services}:
             yield planner_role(team), None
 
-    def _state(self, role):
+    def _state_of(self, role):
         state = self._states.get(role)
         if state is None:
             identity = self.membership.me.identity
@@ -198,18 +225,18 @@
             self._states[role] = state
         return state
 
-    def _look_after(self, role, vm):
-        state = self._state(role)
+    def _check_role(self, role, vm):
+        state = self._state_of(role)
         term, version = self.view.term(role), self.view.version_of(KIND_TERM, role)
         if term is not None:
-            self._see(state, term, version)
+            self._apply_term(state, term, version)
         if state.held is not None:
-            self._keep(state, vm)
+            self._renew(state, vm)
             return
         if state.claiming is not None or self._may_claim(role, term, version, vm):
             self._claim(state, term, version, vm)
 
-    def _see(self, state, term, version, sent_ms=None):
+    def _apply_term(self, state, term, version, sent_ms=None):
         before = state.held.number if state.held is not None else 0
         state.see(term, version, self.clock.now_ms(), sent_ms)
         after = state.held.number if state.held is not None else 0
@@ -227,20 +254,21 @@
 
     def _may_claim(self, role, term, version, vm):
         identity = self.membership.me.identity
-        named = term is not None and term.successor == identity
-        if self.leaving or (not self._is_near(vm) and not named):
+        is_successor = term is not None and term.successor == identity
+        if self.leaving or (not self._is_local(vm) and not is_successor):
             return False
-        departed = lambda holder: self.membership.departed(holder, version)
+        departed = lambda holder: self.membership.is_departed(holder, version)
         silent = lambda holder: self._is_silent(role, holder)
         if not may_claim(term, identity, departed, silent):
             return False
-        return named or self._is_turn(role, vm)
+        return is_successor or self._claim_delay_has_passed(role, vm)
 
     def _is_silent(self, role, holder):
-        """Tell whether a holder has been silent since it named this daemon.
+        """Return whether a holder has been silent since it named this daemon.
 
-        Guards against a takeover from a holder that has just renamed its successor: it
-        pinged this daemon rarely until then, and its next ping is on its way.
+        Guards against a takeover from a holder that has just changed its successor to
+        this daemon: it pinged this daemon rarely until then, and its next ping may not
+        have arrived yet.
         """
         now_ms = self.clock.now_ms()
         version = self.view.version_of(KIND_TERM, role)
@@ -251,20 +279,20 @@
         waited = now_ms - since_ms > self.timing.silence_ms
         return waited and self.membership.silent(holder)
 
-    def _is_near(self, vm):
+    def _is_local(self, vm):
         return vm is None or vm.failure_domain == self.membership.me.failure_domain
 
-    def _is_turn(self, role, vm):
-        """Stagger claims on terms that nobody holds.
+    def _claim_delay_has_passed(self, role, vm):
+        """Return whether this daemon's delay for claiming an unheld term has passed.
 
-        Without it every daemon would write at once after a start of the fleet; one
-        write wins and the others only load the platform.
+        Claims are staggered by rank. Otherwise all daemons would write at once after a
+        start of the fleet; one write succeeds and the others only load the platform.
         """
         since_ms = self._unheld_since_ms.setdefault(role, self.clock.now_ms())
         waited_ms = self.clock.now_ms() - since_ms
-        return waited_ms >= self._rank(role, vm) * RANK_DELAY_MS
+        return waited_ms >= self._claim_rank(role, vm) * CLAIM_STAGGER_MS
 
-    def _rank(self, role, vm):
+    def _claim_rank(self, role, vm):
         own = self.membership.me.failure_domain
         names = [
             name
@@ -275,18 +303,25 @@
         me = self.membership.me.name
         return names.index(me) if me in names else len(names)
 
-    def _wanted(self, vm):
-        """Choose the successor to name, and whether the holder may outlast its right.
+    def _choose_successor(self, vm):
+        """Choose the successor to name, and whether renewals may outlast the right.
+
+        A steward's successor is a daemon of the same failure domain, so that a failure
+        domain that is cut off continues to serve. If there is none, a daemon of another
+        failure domain is named only if the server refuses superseded stewards: then the
+        holder may continue to renew grants while that daemon is unreachable. Otherwise
+        nobody is named, and the term stays with its holder until that returns or is
+        known to have departed.
 
-        A steward's successor is a daemon of the same failure domain, so that a domain
-        that is cut off goes on serving. Where there is no other, an outsider is named
-        only if the server itself refuses superseded stewards: the holder then goes on
-        renewing although the outsider is out of reach. Otherwise nobody is named, and
-        the term waits for its holder's return or the news that it departed.
+        Returns
+        -------
+        successor : str
+            Identity; empty for nobody.
+        lasting : bool
         """
         if vm is None:
             return self.membership.successor(False), False
-        if self._is_near(vm):
+        if self._is_local(vm):
             near = self.membership.successor(True)
             if near:
                 return near, False
@@ -302,48 +337,51 @@
 
     def _claim(self, state, term, version, vm):
         now_ms = self.clock.now_ms()
-        successor, lasting = self._wanted(vm)
-        word_ms = None
+        successor, lasting = self._choose_successor(vm)
+        last_confirmation_ms = None
         if term is not None and term.holder:
-            departed = self.membership.departed(term.holder, version)
+            departed = self.membership.is_departed(term.holder, version)
             if not departed:
-                word_ms = self.membership.last_heard_ms(term.holder)
-        plan = ClaimPlan(successor, lasting, word_ms, self._grant_ms(vm))
+                last_confirmation_ms = self.membership.last_ping_ms(term.holder)
+        plan = ClaimPlan(successor, lasting, last_confirmation_ms, self._grant_ms(vm))
         write = state.claim(term, version, now_ms, plan, uuid.uuid4().hex)
-        self._spawn(state, write)
+        self._write_in_background(state, write)
 
-    def _keep(self, state, vm):
-        successor, lasting = self._wanted(vm)
+    def _renew(self, state, vm):
+        successor, lasting = self._choose_successor(vm)
         request_id = uuid.uuid4().hex
         write = state.keep(self.clock.now_ms(), successor, lasting, request_id)
         if write is not None:
-            self._spawn(state, write)
+            self._write_in_background(state, write)
 
-    def _spawn(self, state, write):
+    def _write_in_background(self, state, write):
         def run():
             try:
                 self._write(state, write)
             finally:
-                self._busy.discard(state.role)
+                self._writing.discard(state.role)
 
-        self._busy.add(state.role)
+        self._writing.add(state.role)
         gevent.spawn(run)
 
     def _write(self, state, write):
-        """Send an update; its answer shows the term, whether granted or refused."""
+        """Send a conditional update and apply the term that the response shows.
+
+        The response shows the current term whether the update succeeded or conflicted.
+        """
         sent_ms = self.clock.now_ms()
         spec = attrs.asdict(write.term)
         result = self.platform.put(KIND_TERM, state.role, spec, write.expected_version)
-        stored = self._shown(result)
+        stored = self._apply_shown_object(result)
         if stored is None:
             log_event("term-write-failed", role=state.role, error=result.failure())
             return
-        # The view may hold a newer version by now; this one still counts for the right.
+        # The view may hold a newer version by now; this one still prolongs the right.
         term = Term.from_spec(stored.spec)
-        self._see(state, term, stored.version, sent_ms)
+        self._apply_term(state, term, stored.version, sent_ms)
 
-    def _shown(self, result):
-        """Return the object that an answer shows, and take it into the view."""
+    def _apply_shown_object(self, result):
+        """Apply the object that a response shows to the view, and return it or None."""
         if is_successful(result):
             stored = result.unwrap()
         else:
@@ -360,13 +398,14 @@
         version = write.expected_version
         for _ in range(HAND_OVER_TRIES):
             result = self.platform.put(KIND_TERM, state.role, spec, version)
-            stored = self._shown(result)
+            stored = self._apply_shown_object(result)
             if stored is None:
                 continue
             if stored.spec["number"] >= write.term.number:
                 log_event("term-handed-over", role=state.role, to=to)
                 return True
-            # An update of ours that was in doubt has landed meanwhile.
+            # An earlier update of this daemon, whose outcome was unknown, has taken
+            # effect meanwhile: retry against the new version.
             version = stored.version
         log_event("hand-over-failed", role=state.role)
         return False
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Who stands in for whom, and who is known to be gone."""
+"""Tests of how daemons choose successors and detect that others have departed."""
 
 import unittest
 
@@ -29,35 +29,38 @@
         self.membership = Membership(me, self.view, None, None, clock, Timing())
 
     def apply(self, kind, name, spec):
-        """Let the view take in an object."""
+        """Apply the next version of an object to the view."""
         self.version += 1
         self.view.apply(Stored(kind, name, self.version, spec))
 
-    def test_a_role_of_no_failure_domain_survives_the_loss_of_its_own(self):
-        """Failure domain a is lost with the planner of a team and its neighbours.
+    def test_an_unbound_role_survives_the_loss_of_its_failure_domain(self):
+        """Failure domain a is lost, with the planner of a team.
 
-        A successor in a as well would be lost with it, and nobody could move the
-        team's keys until an operator steps in.
+        A successor in the same failure domain would be lost with it, and no daemon
+        could move the team's keys until an operator intervenes.
         """
         self.assertEqual(self.membership.successor(False), "b1#1")
         self.assertEqual(self.membership.successor(True), "a2#1")
 
-    def test_an_operators_word_ends_the_terms_of_a_lost_failure_domain(self):
-        """All of failure domain b is lost: holder and successor of a term at once."""
-        self.assertFalse(self.membership.departed("b1#1", 0))
+    def test_a_declared_loss_ends_the_terms_of_a_failure_domain(self):
+        """Holder and successor of a term are lost together with failure domain b.
+
+        Only an operator's declaration can free the term then.
+        """
+        self.assertFalse(self.membership.is_departed("b1#1", 0))
         self.apply("FailureDomain", "b", {"state": "out"})
-        self.assertFalse(self.membership.departed("b1#1", 0))
+        self.assertFalse(self.membership.is_departed("b1#1", 0))
         self.apply("FailureDomain", "b", {"state": "lost"})
-        self.assertTrue(self.membership.departed("b1#1", 0))
-        self.assertFalse(self.membership.departed("a2#1", 0))
+        self.assertTrue(self.membership.is_departed("b1#1", 0))
+        self.assertFalse(self.membership.is_departed("a2#1", 0))
 
-    def test_daemons_that_start_in_a_lost_failure_domain_are_there(self):
+    def test_new_daemons_of_a_lost_failure_domain_count_as_running(self):
         """A lost failure domain is rebuilt before the operator brings it back.
 
-        Its new daemons took each other for gone and took the terms from each other
-        in turns, a hundred writes a second.
+        Guards against new daemons that count each other as departed: they kept taking
+        each other's terms, with a hundred writes a second.
         """
         self.apply("FailureDomain", "b", {"state": "lost"})
         self.apply("Member", "b1", attrs.asdict(member("b1", "b")))
-        self.assertFalse(self.membership.departed("b1#1", 0))
-        self.assertTrue(self.membership.departed("b2#1", 0))
+        self.assertFalse(self.membership.is_departed("b1#1", 0))
+        self.assertTrue(self.membership.is_departed("b2#1", 0))
--- a/tests/test_term_keeper.py
+++ b/tests/test_term_keeper.py
@@ -1,4 +1,4 @@
-"""When a named successor may believe that a holder is silent, on a manual clock."""
+"""Tests of how a named successor detects a silent holder, on a manual clock."""
 
 import types
 import unittest
@@ -15,13 +15,14 @@
 
 
 class NamedSuccessorTest(unittest.TestCase):
-    """A daemon that another one has named."""
+    """A daemon that another one has named as its successor."""
 
     def test_silence_counts_from_the_naming(self):
-        """A steward loses its neighbour and names a daemon that it pinged rarely.
+        """A steward loses its successor and names a daemon that it pinged rarely.
 
-        To that daemon it looks silent at once; a takeover from a live steward would
-        leave its server's grants without proof of their end.
+        Guards against a takeover at once, since that daemon has not been pinged
+        lately: taking over from a live steward would leave its server's grants without
+        proof of their end.
         """
         clock, view = ManualClock(), View()
         membership = types.SimpleNamespace(silent=lambda holder: True)
