--- a/src/tarragonramp/roles/news.py
+++ b/src/tarragonramp/roles/news.py
@@ -1,4 +1,4 @@
-"""Keeps a daemon's view up to date, from the platform or from other daemons."""
+"""Keeps a daemon's view current, by updates from the platform or from other daemons."""
 
 import random
 
@@ -20,18 +20,18 @@
 
 __all__ = ["News"]
 
-START_SPREAD_MS = 200
-BATCH_MS = 20
-"""Pause between two fetches from another daemon.
+START_JITTER_MS = 200
+BATCH_DELAY_MS = 20
+"""Pause between two fetches from another daemon, so that a burst of changes is batched.
 
-Load: a burst of changes, as when a failure domain restarts. Harm prevented: an
-exchange a change on every hop. Four hops then add 80 ms at most.
+Without it a restart of a failure domain causes one exchange per change on every hop.
+Over four hops it adds at most 80 ms.
 """
 
 
 @attrs.define(eq=False, repr=False)
 class News:
-    """Follows the platform or another daemon, and answers those that follow this one.
+    """Follows the platform or another daemon, and serves daemons that follow this one.
 
     Parameters
     ----------
@@ -40,13 +40,13 @@
     platform : Platform
         For single calls.
     watcher : Platform
-        A second one with a connection of its own: a watch occupies it.
+        A second client with its own connection, since a watch blocks its connection.
     peers : Peers
     clock : Clock
     timing : Timing
     synced : Event
-        Set once objects and VMs have been read: before, a request for a declared
-        service would be told that there is no such service.
+        Set once objects and VMs have been read. Before that, requests for a declared
+        service would be refused as having no service.
     """
 
     me: object
@@ -58,29 +58,29 @@
     timing: object
     reached: bool = True
     synced: Event = attrs.Factory(Event)
-    _seen_objects: bool = False
-    _seen_vms: bool = False
+    _objects_read: bool = False
+    _vms_read: bool = False
     source: str | None = None
     sources: Sources = attrs.Factory(Sources)
     _failures: int = 0
-    _pulling: bool = False
-    _last_direct_ms: float = 0.0
-    _changed: Event = attrs.Factory(Event)
-    _started: Event = attrs.Factory(Event)
+    _catching_up: bool = False
+    _last_poll_ms: float = 0.0
+    _state_changed: Event = attrs.Factory(Event)
+    _members_read: Event = attrs.Factory(Event)
 
     def __attrs_post_init__(self):
-        """Wake waiting followers whenever the view changes."""
-        self.view.on_change(self._wake)
+        """Subscribe to view changes, to wake waiting followers."""
+        self.view.on_change(self._wake_followers)
 
     def run(self):
-        """Follow changes of objects, for ever.
+        """Follow changes of objects. Never returns.
 
-        The first thing a daemon reads is the list of members: only then can it tell
-        whether it has to watch, or may leave the platform to others.
+        The list of members is read first, since it determines whether this daemon
+        watches the platform itself or follows another daemon.
         """
-        gevent.sleep(random.random() * START_SPREAD_MS / 1000.0)
+        gevent.sleep(random.random() * START_JITTER_MS / 1000.0)
         self._read_members()
-        self._started.set()
+        self._members_read.set()
         while True:
             self._choose_source()
             if self.source == PLATFORM:
@@ -89,11 +89,11 @@
                 self._follow()
 
     def wait_started(self):
-        """Wait until the members are known."""
-        self._started.wait()
+        """Block until the list of members has been read."""
+        self._members_read.wait()
 
     def run_vm_list(self):
-        """Read the list of VMs, for ever, while this daemon watches the platform."""
+        """Poll the VM list while this daemon watches the platform. Never returns."""
         self.wait_started()
         while True:
             if self.source == PLATFORM:
@@ -101,38 +101,43 @@
             gevent.sleep(self.timing.vm_list_ms / 1000.0)
 
     def heard(self, name, newest):
-        """Take in the newest version that a ring neighbour has seen."""
-        if self._pulling:
+        """Handle the newest version that a ring neighbour has seen.
+
+        If this daemon lags behind, it fetches the neighbour's updates.
+        """
+        if self._catching_up:
             return
         if self.sources.lags(name, newest, self.view.newest, self.clock.now_ms()):
-            self._pulling = True
+            self._catching_up = True
             gevent.spawn(self._catch_up, name)
 
-    def answer(self, question):
-        """Answer a daemon that follows this one, once there is anything new.
+    def answer(self, request):
+        """Return updates to a daemon that follows this one; blocks until there are any.
+
+        Without any, it returns after the wait that the follower asked for.
 
         Parameters
         ----------
-        question : NewsQuestion
+        request : NewsQuestion
 
         Returns
         -------
-        news : NewsAnswer
+        updates : NewsAnswer
         """
-        until_ms = self.clock.now_ms() + min(question.wait_ms, self.timing.watch_ms)
-        while not self._has_news(question):
+        until_ms = self.clock.now_ms() + min(request.wait_ms, self.timing.watch_ms)
+        while not self._has_updates(request):
             left_ms = until_ms - self.clock.now_ms()
             if left_ms <= 0:
                 break
-            self._changed.wait(left_ms / 1000.0)
-        return self.view.news_after(question, self.reached)
+            self._state_changed.wait(left_ms / 1000.0)
+        return self.view.news_after(request, self.reached)
 
-    def _has_news(self, question):
+    def _has_updates(self, request):
         return (
-            self.view.version > question.since
-            or self.view.newest > question.newest
-            or self.view.vms_digest != question.vms_digest
-            or self.reached != question.reached
+            self.view.version > request.since
+            or self.view.newest > request.newest
+            or self.view.vms_digest != request.vms_digest
+            or self.reached != request.reached
         )
 
     def _read_members(self):
@@ -142,7 +147,7 @@
                 for stored in result.unwrap():
                     self.view.apply(stored)
                 return
-            self._note_reached(False, result.failure())
+            self._record_reached(False, result.failure())
             self._back_off()
 
     def _choose_source(self):
@@ -161,42 +166,42 @@
             self.view.version, self.timing.watch_ms, VIEWED_KINDS
         )
         if is_successful(result):
-            self._note_reached(True)
+            self._record_reached(True)
             self._failures = 0
-            self._take(*result.unwrap())
-            self._note_synced(objects=True)
+            self._apply_updates(*result.unwrap())
+            self._record_synced(objects=True)
             return
-        self._note_reached(False, result.failure())
-        self._ask_outside()
+        self._record_reached(False, result.failure())
+        self._poll_remote_watcher()
         self._back_off()
 
     def _follow(self):
         name = self.source
-        news = self._fetch(name, self.timing.watch_ms)
-        if news is None:
+        updates = self._fetch(name, self.timing.watch_ms)
+        if updates is None:
             log_event("news-source-silent", source=name)
             self.sources.suspect(name, self.clock.now_ms())
             return
         self.sources.trust(name)
-        self._note_reached(news.reached, f"told by {name}")
-        self._note_synced(objects=news.version > 0, vms=news.version > 0)
-        if not news.reached:
-            self._fall_back()
-        gevent.sleep(BATCH_MS / 1000.0)
-
-    def _fall_back(self):
-        """Ask the platform now and then while the source has lost it."""
+        self._record_reached(updates.reached, f"told by {name}")
+        self._record_synced(objects=updates.version > 0, vms=updates.version > 0)
+        if not updates.reached:
+            self._poll_platform()
+        gevent.sleep(BATCH_DELAY_MS / 1000.0)
+
+    def _poll_platform(self):
+        """Poll the platform occasionally while the source cannot reach it."""
         wait_ms = fallback_ms(len(self.view.members()), random.random())
-        if self.clock.now_ms() - self._last_direct_ms < wait_ms:
+        if self.clock.now_ms() - self._last_poll_ms < wait_ms:
             return
-        self._last_direct_ms = self.clock.now_ms()
+        self._last_poll_ms = self.clock.now_ms()
         result = self.watcher.watch(self.view.version, 0, VIEWED_KINDS)
         if is_successful(result):
-            self._take(*result.unwrap())
+            self._apply_updates(*result.unwrap())
             self._read_vms()
 
-    def _ask_outside(self):
-        """Ask one watcher of another failure domain, which may still see more."""
+    def _poll_remote_watcher(self):
+        """Fetch from a watcher of another failure domain, which may be more current."""
         names = outside_sources(
             self.me, self.view.members(), self.timing.watchers, self._usable
         )
@@ -208,55 +213,55 @@
             log_event("news-lag", ahead=name, version=self.view.version)
             self._fetch(name, 0)
         finally:
-            self._pulling = False
+            self._catching_up = False
 
     def _fetch(self, name, wait_ms):
-        """Return another daemon's news after taking its objects in, or None."""
+        """Fetch another daemon's updates, apply them, and return them or None."""
         member = self.view.members().get(name)
         if member is None:
             return None
-        question = self.view.question(wait_ms, self.reached)
-        result = self.peers.news(member.control_address, question)
+        request = self.view.question(wait_ms, self.reached)
+        result = self.peers.news(member.control_address, request)
         if not is_successful(result):
             return None
-        news = result.unwrap()
-        if news.vms is not None and name == self.source:
-            self.view.apply_vm_changes(news.vms)
-        self._take(news.version, news.items)
-        return news
+        updates = result.unwrap()
+        if updates.vms is not None and name == self.source:
+            self.view.apply_vm_changes(updates.vms)
+        self._apply_updates(updates.version, updates.items)
+        return updates
 
-    def _take(self, version, items):
+    def _apply_updates(self, version, items):
         for stored in items:
             self.view.apply(stored)
         self.view.advance_to(version)
-        self._wake()
+        self._wake_followers()
 
     def _read_vms(self):
         result = self.platform.list_vms()
         if is_successful(result):
             self.view.apply_vms(result.unwrap())
-            self._note_synced(vms=True)
+            self._record_synced(vms=True)
 
     def _back_off(self):
         self._failures += 1
         gevent.sleep(retry_ms(self._failures, random.random()) / 1000.0)
 
-    def _note_synced(self, objects=False, vms=False):
-        self._seen_objects |= objects
-        self._seen_vms |= vms
-        if self._seen_objects and self._seen_vms:
+    def _record_synced(self, objects=False, vms=False):
+        self._objects_read |= objects
+        self._vms_read |= vms
+        if self._objects_read and self._vms_read:
             self.synced.set()
 
-    def _note_reached(self, reached, error=""):
+    def _record_reached(self, reached, error=""):
         if reached == self.reached:
             return
         self.reached = reached
-        self._wake()
+        self._wake_followers()
         if reached:
             log_event("platform-reached")
         else:
             log_event("platform-unreachable", error=error)
 
-    def _wake(self):
-        changed, self._changed = self._changed, Event()
+    def _wake_followers(self):
+        changed, self._state_changed = self._state_changed, Event()
         changed.set()
--- a/src/tarragonramp/roles/planner.py
+++ b/src/tarragonramp/roles/planner.py
@@ -1,4 +1,4 @@
-"""Decides for a team which backend server owns which slices."""
+"""Planner role: assigns the slices of a team's services to backend servers."""
 
 import uuid
 
@@ -26,17 +26,18 @@
 __all__ = ["Planners"]
 
 RETRY_MS = 500
-SETTLING_MS = 1500
-"""How long after the start of a term stewards may take to report their servers.
+REPORT_WAIT_MS = 1500
+"""How long the planner waits for stewards' reports after the start of its term.
 
-They do so within tens of milliseconds; a server that is dead is reported silent within
-a grant. After this a server that nobody reports leaves its share to the others.
+Stewards report within tens of milliseconds, and a dead server is reported silent within
+the length of a grant. After this time the share of a server without a report goes to
+the others.
 """
 
 
 @attrs.define(eq=False, repr=False)
 class Planners:
-    """The planner role of this daemon, for all its teams.
+    """The planner role of this daemon, for all teams whose planner terms it holds.
 
     Parameters
     ----------
@@ -54,18 +55,18 @@
     peers: object
     clock: object
     timing: object
-    _began_ms: dict = attrs.Factory(dict)
+    _term_began_ms: dict = attrs.Factory(dict)
     _reports: dict = attrs.Factory(dict)
-    _settled: dict = attrs.Factory(dict)
+    _settled_inputs: dict = attrs.Factory(dict)
     _changed: Event = attrs.Factory(Event)
 
     def take_report(self, sender, reports):
-        """Take in what a steward says about its servers.
+        """Store a steward's reports about its servers.
 
         Returns
         -------
         accepted : bool
-            False if this daemon plans for none of the teams.
+            False if this daemon is not the planner of one of the teams.
         """
         accepted = True
         for report in reports:
@@ -74,18 +75,18 @@
                 accepted = False
                 continue
             key = (report.team, report.service, report.server)
-            known = self._report(*key)
-            if known is None or known.term <= report.term:
+            previous = self._current_report(*key)
+            if previous is None or previous.term <= report.term:
                 self._reports[key] = (state.held.number, report)
                 self._changed.set()
         return accepted
 
-    def _report(self, team, service, server):
-        """Return the newest report of a server that was made to this term, or None.
+    def _current_report(self, team, service, server):
+        """Return the newest report on a server in the current planner term, or None.
 
-        Stewards report anew to every new term of the planner. What was told to an
-        earlier one may be long over: a server that was silent then would lose its
-        keys now.
+        Stewards repeat their reports for every new term of the planner. Reports of an
+        earlier term may be outdated: a server that was silent then would lose its keys
+        now.
         """
         state = self.keeper.holding(planner_role(team))
         number, report = self._reports.get((team, service, server), (0, None))
@@ -94,15 +95,17 @@
         return report
 
     def run(self):
-        """Plan for every team held, for ever."""
+        """Plan for all teams whose planner terms are held here. Never returns."""
         self.view.on_change(self._changed.set)
         while True:
             busy = False
             self._changed.clear()
-            # Guards against a planner that has seen the assignment and no VM yet, as
-            # after a start: it would take every slice from its owner.
-            seen = list(self.view.services().items()) if self.view.vms_digest else ()
-            for (team, _), service in seen:
+            # Wait for the first VM list: a planner that knows the assignment but no
+            # VMs, as after a start, would take every slice from its owner.
+            known_services = (
+                list(self.view.services().items()) if self.view.vms_digest else ()
+            )
+            for (team, _), service in known_services:
                 if service.divided and self.keeper.may_act(planner_role(team)):
                     busy |= self._plan(team, service)
             for team in self.view.all_of(KIND_TEAM):
@@ -112,7 +115,7 @@
             self._changed.wait(wait_ms / 1000.0)
 
     def _plan(self, team, service):
-        """Take one step for one service; True if a move is under way."""
+        """Perform one planning step for a service; True if a move is in progress."""
         name = assignment_name(team, service.name)
         version = self.view.version_of(KIND_ASSIGNMENT, name)
         assignment = self.view.assignment(team, service.name)
@@ -121,33 +124,33 @@
         if assignment is None:
             assignment = initial_assignment(team, service.name, service.n_slices)
         servers = self._servers(team, service)
-        if self._settled.get(name) == (version, servers):
+        if self._settled_inputs.get(name) == (version, servers):
             return False
-        settling = self._is_settling(team, service)
-        released = self._released(assignment, version)
+        settling = self._awaits_reports(team, service)
+        released = self._proved_releases(assignment, version)
         slices = next_slices(assignment.slices, servers, released, settling)
         if slices != assignment.slices or version == 0:
             self._write(name, attrs.evolve(assignment, slices=slices), version)
             return any(item.state == RELEASING for item in slices)
         moving = any(item.state == RELEASING for item in slices)
         if not moving and not settling:
-            # Until the assignment or a server changes there is nothing to decide.
-            self._settled[name] = (version, servers)
+            # Nothing to decide until the assignment or a server changes.
+            self._settled_inputs[name] = (version, servers)
         return moving
 
-    def _is_settling(self, team, service):
-        """Tell whether reports to this term about a service may still come in."""
+    def _awaits_reports(self, team, service):
+        """Return whether first reports on a service may still arrive in this term."""
         term = self.keeper.holding(planner_role(team)).held.number
         now_ms = self.clock.now_ms()
-        began_ms = self._began_ms.setdefault((team, service.name, term), now_ms)
-        return now_ms - began_ms < SETTLING_MS
+        began_ms = self._term_began_ms.setdefault((team, service.name, term), now_ms)
+        return now_ms - began_ms < REPORT_WAIT_MS
 
     def _finish_deletion(self, team):
-        """Delete a leaving team once nobody owns any of its keys.
+        """Delete a team that is being removed once none of its keys has an owner.
 
-        The assignments stay, without owners: a team declared anew under the name
-        goes on with higher fencing tokens, so that servers can still tell old from
-        new.
+        The assignments are kept, without owners: if a team is declared again under
+        this name, its fencing tokens continue from there, so that servers can still
+        reject older ones.
         """
         for (name, _), service in self.view.services().items():
             if name != team or not service.divided:
@@ -166,21 +169,23 @@
         weights = self.view.get(KIND_TEAM, team).domain_weights
         views = {}
         for name, vm in self.view.servers_of(team, service.name).items():
-            report = self._report(team, service.name, name)
+            report = self._current_report(team, service.name, name)
             weight = weights.get(vm.failure_domain, 1.0)
-            leaves = vm.state != LIVE or not self.view.domain_in(vm.failure_domain)
-            leaves = leaves or self.view.leaving(team)
+            is_leaving = vm.state != LIVE or not self.view.domain_in(vm.failure_domain)
+            is_leaving = is_leaving or self.view.leaving(team)
             views[name] = ServerView(
                 name=name,
-                weight=0.0 if leaves else weight,
+                weight=0.0 if is_leaving else weight,
                 usable=report is not None and report.condition == UP,
                 lost=report is not None and report.condition == SILENT,
             )
         return views
 
-    def _released(self, assignment, version):
+    def _proved_releases(self, assignment, version):
         tasks = {
-            server: gevent.spawn(self._ask, assignment, version, server, indexes)
+            server: gevent.spawn(
+                self._request_release_proof, assignment, version, server, indexes
+            )
             for server, indexes in questions(assignment).items()
         }
         gevent.joinall(tasks.values())
@@ -190,24 +195,24 @@
             for index in task.value or ()
         }
 
-    def _ask(self, assignment, version, server, indexes):
+    def _request_release_proof(self, assignment, version, server, indexes):
         if server not in assignment.stewards:
-            # No steward ever was registered for it, so nothing was ever granted.
+            # No steward was ever registered for it, so nothing was ever granted.
             return indexes
         vm = self.view.vms.get(server)
         if vm is not None and self.view.domain_lost(vm.failure_domain):
-            # An operator's word that nothing runs there any more.
+            # An operator has declared that nothing runs there any more.
             return indexes
         if vm is not None and vm.state == DEPARTED:
-            # The platform's word. That a VM is not listed proves nothing: the list
-            # lags, and an older one may be shown after a newer.
+            # The platform reports the VM as departed. Its absence from the list would
+            # prove nothing: the list lags, and an older one may follow a newer one.
             return indexes
         role = steward_role(assignment.team, assignment.service, server)
         term = self.view.term(role)
         member = self.view.member_of(term.holder) if term else None
         if member is None:
             return []
-        question = {
+        request = {
             "team": assignment.team,
             "service": assignment.service,
             "server": server,
@@ -215,7 +220,7 @@
             "slices": indexes,
             "steward_term": assignment.stewards[server],
         }
-        return self.peers.prove_release(member.peer_address, question).value_or([])
+        return self.peers.prove_release(member.peer_address, request).value_or([])
 
     def _write(self, name, assignment, version):
         new = attrs.evolve(assignment, request_id=uuid.uuid4().hex)
