--- a/src/tarragonramp/roles/__init__.py
+++ b/src/tarragonramp/roles/__init__.py
@@ -1,1 +1,1 @@
-"""The tasks of a daemon: they join pure decisions to the ports."""
+"""Roles and tasks of a daemon, which connect decision logic to the ports."""
--- a/src/tarragonramp/roles/audit.py
+++ b/src/tarragonramp/roles/audit.py
@@ -1,4 +1,4 @@
-"""The audit trail: who changed what, when, and what became of it."""
+"""Audit trail: who changed what and when, and the outcome."""
 
 import random
 import time
@@ -11,7 +11,7 @@
 
 from ..adapters.logs import log_event
 from ..model import KIND_AUDIT_ENTRY, Stored
-from .writes import put_surely
+from .writes import put_until_resolved
 
 __all__ = ["AuditTrail", "Change"]
 
@@ -23,36 +23,39 @@
 NOT_DONE = "not-done"
 
 WRITE_MS = 3000
-PRUNE_EVERY = 50
-"""One write in so many, drawn at random, looks for entries to remove. Counted instead,
-none would in a large fleet: each daemon writes few and is restarted before the next."""
+PRUNE_INTERVAL_WRITES = 50
+"""Average number of writes between two prunings, which happen at random.
 
-PRUNE_AT_ONCE = 200
-STRANGERS_EVERY_MS = 60_000
-"""Shortest time between two entries about calls without a secret.
+With a counter pruning might never happen in a large fleet: each daemon writes few
+entries and may be restarted before its counter is full.
+"""
+
+MAX_PRUNED_ENTRIES = 200
+UNAUTHENTICATED_INTERVAL_MS = 60_000
+"""Minimum time between two entries about unauthenticated calls.
 
-Load: somebody tries secrets as fast as the port answers. Harm prevented: a write to
-the platform for each try. One entry a minute names the newest call and counts all.
+Limits the writes to the platform while somebody tries secrets as fast as the port
+answers. One entry a minute names the latest call and counts all of them.
 """
 
-MAX_TEXT = 200
+MAX_DETAIL_LENGTH = 200
 
 
 @attrs.frozen
 class Change:
-    """What an operator asks for.
+    """A change requested by an operator.
 
     Parameters
     ----------
     actor : str
-        As the caller names himself.
+        As given by the caller, not verified.
     remote : str
-        IP number of the caller.
+        IP address of the caller.
     action : str
     kind, name : str
     before_version : int
     change_id : str
-        The request id that the changed object carries.
+        Request id, also stored in the changed object.
     """
 
     actor: str
@@ -66,7 +69,7 @@
 
 @attrs.define(eq=False, repr=False)
 class AuditTrail:
-    """Writes entries, and removes the oldest.
+    """Writes audit entries, and prunes the oldest.
 
     Parameters
     ----------
@@ -80,14 +83,14 @@
     platform: object
     clock: object
     keep_entries: int
-    _strangers: int = 0
-    _next_stranger_ms: float = 0.0
+    _n_unauthenticated: int = 0
+    _next_unauthenticated_ms: float = 0.0
 
     def begin(self, change) -> Result:
-        """Write that a change is about to be tried.
+        """Write the entry of a change that is about to be attempted.
 
-        A change is made only after this: there is none without an entry. An entry
-        whose second write was lost goes on saying ``begun``.
+        Changes are attempted only after this write, so none is without an entry. If
+        the second write of an entry is lost, its outcome stays ``begun``.
 
         Returns
         -------
@@ -96,7 +99,7 @@
         return self._write_new({**self._fields(change), "outcome": BEGUN})
 
     def finish(self, entry, outcome, detail="", after_version=0):
-        """Write what became of a change.
+        """Write the outcome of a change into its entry.
 
         Parameters
         ----------
@@ -109,7 +112,7 @@
         spec = {
             **entry.spec,
             "outcome": outcome,
-            "detail": detail[:MAX_TEXT],
+            "detail": detail[:MAX_DETAIL_LENGTH],
             "after_version": after_version,
             "request_id": uuid.uuid4().hex,
         }
@@ -118,20 +121,24 @@
             log_event("audit-not-finished", entry=entry.name, error=result.failure())
 
     def refused(self, change, detail):
-        """Write that a change was refused before anything was tried."""
-        spec = {**self._fields(change), "outcome": REFUSED, "detail": detail[:MAX_TEXT]}
+        """Write an entry for a change that was refused before it was attempted."""
+        spec = {
+            **self._fields(change),
+            "outcome": REFUSED,
+            "detail": detail[:MAX_DETAIL_LENGTH],
+        }
         result = self._write_new(spec)
         if not is_successful(result):
             log_event("audit-not-written", action=change.action, outcome=REFUSED)
 
-    def stranger(self, change):
-        """Note a call without an accepted secret; at most one entry a minute."""
-        self._strangers += 1
+    def record_unauthenticated(self, change):
+        """Count an unauthenticated call, and write at most one entry a minute."""
+        self._n_unauthenticated += 1
         now_ms = self.clock.now_ms()
-        if now_ms < self._next_stranger_ms:
+        if now_ms < self._next_unauthenticated_ms:
             return
-        self._next_stranger_ms = now_ms + STRANGERS_EVERY_MS
-        count, self._strangers = self._strangers, 0
+        self._next_unauthenticated_ms = now_ms + UNAUTHENTICATED_INTERVAL_MS
+        count, self._n_unauthenticated = self._n_unauthenticated, 0
         detail = f"no accepted secret; {count} such calls since the last entry"
         log_event("operator-unauthenticated", remote=change.remote, calls=count)
         gevent.spawn(self.refused, change, detail)
@@ -158,21 +165,21 @@
     def _write_new(self, spec):
         name = f"{spec['at_ms']:013d}-{spec['request_id'][:8]}"
         result = self._put(name, spec, 0)
-        if random.randrange(PRUNE_EVERY) == 0:
+        if random.randrange(PRUNE_INTERVAL_WRITES) == 0:
             gevent.spawn(self._prune)
         return result
 
     def _put(self, name, spec, version):
         stored = Stored(KIND_AUDIT_ENTRY, name, version, spec)
         until_ms = self.clock.now_ms() + WRITE_MS
-        return put_surely(self.platform, self.clock, stored, until_ms)
+        return put_until_resolved(self.platform, self.clock, stored, until_ms)
 
     def _prune(self):
-        """Delete the oldest entries beyond the number that is kept."""
+        """Delete the oldest entries in excess of ``keep_entries``."""
         found = self.platform.list(KIND_AUDIT_ENTRY).value_or([])
         oldest = sorted(found, key=lambda item: item.name)
         surplus = max(0, len(oldest) - self.keep_entries)
-        for item in oldest[: min(surplus, PRUNE_AT_ONCE)]:
+        for item in oldest[: min(surplus, MAX_PRUNED_ENTRIES)]:
             self.platform.delete(KIND_AUDIT_ENTRY, item.name, item.version)
         if surplus:
-            log_event("audit-pruned", entries=min(surplus, PRUNE_AT_ONCE))
+            log_event("audit-pruned", entries=min(surplus, MAX_PRUNED_ENTRIES))
--- a/src/tarragonramp/roles/control.py
+++ b/src/tarragonramp/roles/control.py
@@ -1,4 +1,4 @@
-"""What the control port answers: other daemons, probes, metrics and operators."""
+"""The control port: requests of other daemons and operators, probes and metrics."""
 
 import json
 
@@ -30,7 +30,8 @@
     metrics : Metrics
     peer_secrets : Secrets
     readiness : callable
-        ``readiness() -> (bool, str)``: whether callers should be sent here, and why.
+        ``readiness() -> (bool, str)``: whether callers should be sent here, and the
+        reason.
     is_leaving : callable
         ``is_leaving() -> bool``
     """
@@ -48,7 +49,7 @@
     is_leaving: object
 
     def __call__(self, environ, start_response):
-        """Serve one call."""
+        """Handle one request."""
         path = environ["PATH_INFO"]
         if path.startswith(OPERATOR_PREFIX):
             return self.operators(environ, start_response)
@@ -57,7 +58,7 @@
         if path.startswith(PEER_PREFIX):
             return self._peer(path, environ, start_response)
         if path == "/healthy":
-            # That it is answered at all is the news: the event loop turns.
+            # Liveness only: any response shows that the event loop is running.
             return json_reply(start_response, 200, {"healthy": True})
         if path == "/ready":
             ready, reason = self.readiness()
@@ -75,24 +76,24 @@
             return json_reply(start_response, 401, {"error": "peer secret is wrong"})
         body = environ["wsgi.input"].read()
         if path == IN_FORCE_TARGET:
-            told = json.loads(body)
-            self.status.take(told["identity"], told["version"])
+            report = json.loads(body)
+            self.status.record_version(report["identity"], report["version"])
             return json_reply(start_response, 200, {})
         if path == "/peer/ping":
-            return json_reply(start_response, 200, self._word(json.loads(body)))
+            return json_reply(start_response, 200, self._answer_ping(json.loads(body)))
         if path == "/peer/news":
             news = news_payload(self.news.answer(news_question(body)))
             return json_reply(start_response, 200, news)
         return json_reply(start_response, 404, {"error": "no such path"})
 
-    def _word(self, question):
-        """Return this daemon's word to a neighbour that pings it."""
-        asked = question["identity"]
-        self.membership.record_ping(asked)
-        self.news.heard(asked.partition("#")[0], question.get("newest", 0))
+    def _answer_ping(self, request):
+        """Return the payload that answers a neighbour's ping."""
+        peer_identity = request["identity"]
+        self.membership.record_ping(peer_identity)
+        self.news.heard(peer_identity.partition("#")[0], request.get("newest", 0))
         return {
             "identity": self.me.identity,
-            "taken": self.keeper.revoked_terms(asked),
+            "taken": self.keeper.revoked_terms(peer_identity),
             "newest": self.view.newest,
             "leaving": self.is_leaving(),
         }
--- a/src/tarragonramp/roles/operators.py
+++ b/src/tarragonramp/roles/operators.py
@@ -1,4 +1,4 @@
-"""What operators ask a daemon: changes, each with its audit entry, and answers."""
+"""Operator API: queries, and changes that are recorded in the audit trail."""
 
 import json
 import urllib.parse
@@ -36,7 +36,7 @@
 )
 from ..structuring import structure
 from . import audit
-from .writes import delete_surely, put_surely
+from .writes import delete_until_resolved, put_until_resolved
 
 __all__ = ["Operators"]
 
@@ -45,11 +45,11 @@
 MAX_AUDIT_ENTRIES = 1000
 AUDIT_ENTRIES = 50
 CHANGE_MS = 5000
-MAX_ACTOR = 64
+MAX_ACTOR_LENGTH = 64
 
 
-class _RefusedCallError(Exception):
-    """A call that gets an error in place of an answer."""
+class _CallError(Exception):
+    """Ends a call with an error response."""
 
     def __init__(self, status, message, faults=()):
         super().__init__(message)
@@ -58,7 +58,7 @@
 
 @attrs.define(eq=False, repr=False)
 class Operators:
-    """The operator port's WSGI application.
+    """The WSGI application of the operator API.
 
     Parameters
     ----------
@@ -80,14 +80,16 @@
     secrets: object
 
     def __call__(self, environ, start_response):
-        """Serve one call of an operator."""
+        """Handle one call of an operator."""
         if not self.secrets.admits(environ.get("HTTP_AUTHORIZATION")):
-            self.trail.stranger(_change(environ, environ["PATH_INFO"][:100], "", 0))
+            self.trail.record_unauthenticated(
+                _change(environ, environ["PATH_INFO"][:100], "", 0)
+            )
             message = "the operator secret is missing or wrong"
             return json_reply(start_response, 401, {"error": message})
         try:
             status, payload = self._serve(environ)
-        except _RefusedCallError as error:
+        except _CallError as error:
             status, payload = error.reply
         return json_reply(start_response, status, payload)
 
@@ -109,7 +111,7 @@
         if method == "GET" and parts[0] == "explain" and len(parts) == 3:
             return self.overview.explain(parts[1], parts[2], query.get("key", ""))
         if method == "POST" and parts == ["check"]:
-            return self._check(_json_body(environ))
+            return self._check(_parse_json_body(environ))
         if parts[0] == "objects" and len(parts) in (2, 3):
             return self._objects(method, parts[1:], query, environ)
         return 404, {"error": "no such operation"}
@@ -121,13 +123,15 @@
             return _reply(self.platform.get(*names))
         if method not in ("PUT", "DELETE") or len(names) != 2:
             return 405, {"error": "use GET, PUT or DELETE"}
-        change = _change(environ, *names, _number(query.get("version", "0"), "version"))
+        change = _change(
+            environ, *names, _parse_number(query.get("version", "0"), "version")
+        )
         if method == "DELETE":
             return self._delete(change)
-        return self._put(change, _json_body(environ), query)
+        return self._put(change, _parse_json_body(environ), query)
 
     def _check(self, documents):
-        """Check declarations together, before the first one is written."""
+        """Validate several declarations together, before any of them is written."""
         if not isinstance(documents, list) or len(documents) > MAX_DOCUMENTS:
             message = f"expected a list of at most {MAX_DOCUMENTS} documents"
             return 400, {"error": message}
@@ -149,18 +153,18 @@
             spec["changed_by"] = change.actor
         status, payload = self._write(change, spec)
         if status == 200 and change.kind != KIND_FAILURE_DOMAIN:
-            payload["warnings"] = self._clashes(change)
+            payload["warnings"] = self._conflict_warnings(change)
         return status, payload
 
-    def _clashes(self, change):
-        """Check once more what is declared now, after the write.
+    def _conflict_warnings(self, change):
+        """Validate again after the write, and return conflicts as warnings.
 
-        Two operators whose files do not go together can pass the checks at the same
-        moment; at least the one whose write came last is told.
+        Two operators whose declarations conflict can pass the checks at the same
+        time. At least the one whose write came last is warned.
         """
         try:
             declared = self._declared()
-        except _RefusedCallError:
+        except _CallError:
             return []
         declarations = [
             Declaration(KIND_TEAM, name, attrs.asdict(team))
@@ -168,7 +172,7 @@
             if name == change.name or change.kind == KIND_TEMPLATE
         ]
         declarations = [
-            attrs.evolve(item, spec=_without_own_fields(item.spec))
+            attrs.evolve(item, spec=_without_system_fields(item.spec))
             for item in declarations
         ]
         return [
@@ -206,15 +210,15 @@
             self.trail.refused(change, faults[0])
             return 400, {"error": "deletion refused", "faults": faults}
         if change.kind == KIND_TEAM and self._has_assignments(change.name):
-            return self._withdraw(change)
+            return self._start_team_deletion(change)
         return self._write(change, None)
 
-    def _withdraw(self, change):
-        """Begin to delete a team whose keys may have owners.
+    def _start_team_deletion(self, change):
+        """Start the deletion of a team whose keys may have owners.
 
-        The planner takes its keys from their owners, each with proof, and deletes
-        the team after the last one. Deleted at once, the servers would go on as
-        owners, and a team declared anew could give their keys to others.
+        The planner has each owner release its keys, with proof, and then deletes the
+        team. If it were deleted at once, its servers would continue to act as owners,
+        while a team declared again could assign their keys to others.
         """
         held = self.platform.get(KIND_TEAM, change.name)
         if not is_successful(held):
@@ -223,12 +227,12 @@
         return self._write(change, spec)
 
     def _write(self, change, spec):
-        """Change an object between two writes of its audit entry."""
+        """Change an object; its audit entry is written before and after the change."""
         begun = self.trail.begin(change)
         if not is_successful(begun):
             message = f"nothing changed: audit trail not written: {begun.failure()}"
             return 503, {"error": message}
-        result = self._change_surely(change, spec)
+        result = self._apply_change(change, spec)
         status, payload = _reply(result, changes=True)
         after_version = 0
         if status == 200 and result.unwrap() is not None:
@@ -239,10 +243,10 @@
         self.trail.finish(begun.unwrap(), outcome, detail, after_version)
         return status, payload
 
-    def _change_surely(self, change, spec) -> Result:
+    def _apply_change(self, change, spec) -> Result:
         until_ms = self.clock.now_ms() + CHANGE_MS
         if spec is None:
-            return delete_surely(
+            return delete_until_resolved(
                 self.platform,
                 self.clock,
                 change.kind,
@@ -251,24 +255,22 @@
                 until_ms,
             )
         stored = Stored(change.kind, change.name, change.before_version, spec)
-        return put_surely(self.platform, self.clock, stored, until_ms)
+        return put_until_resolved(self.platform, self.clock, stored, until_ms)
 
     def _declared(self):
-        """Return what the platform holds now: the view may lag."""
-        templates = self._listed(KIND_TEMPLATE)
-        teams = self._listed(KIND_TEAM)
+        """Return the current declarations, from the platform since the view may lag."""
+        templates = self._list_or_raise(KIND_TEMPLATE)
+        teams = self._list_or_raise(KIND_TEAM)
         assigned = {
             (item.team, item.service): len(item.slices)
             for item in self.view.all_of(KIND_ASSIGNMENT).values()
         }
-        return Declared(
-            _structured(templates, Template), _structured(teams, Team), assigned
-        )
+        return Declared(_parsed(templates, Template), _parsed(teams, Team), assigned)
 
-    def _listed(self, kind):
+    def _list_or_raise(self, kind):
         found = self.platform.list(kind)
         if not is_successful(found):
-            raise _RefusedCallError(503, f"nothing changed: {found.failure()}")
+            raise _CallError(503, f"nothing changed: {found.failure()}")
         return found.unwrap()
 
     def _has_assignments(self, team):
@@ -285,7 +287,7 @@
         return bool(found) or divided
 
     def _audit(self, query):
-        limit = _number(query.get("limit", str(AUDIT_ENTRIES)), "limit")
+        limit = _parse_number(query.get("limit", str(AUDIT_ENTRIES)), "limit")
         result = self.trail.entries(min(limit, MAX_AUDIT_ENTRIES))
         if not is_successful(result):
             return _reply(result)
@@ -296,7 +298,7 @@
         return 200, {"items": entries}
 
     def _outcome_of(self, entry):
-        """Say what can be said about a change whose outcome was not recorded."""
+        """Describe what is known about a change whose outcome was not recorded."""
         found = self.platform.get(entry["kind"], entry["name"])
         if not is_successful(found):
             return "outcome not recorded; the object is not there or not read"
@@ -310,7 +312,7 @@
 
 def _change(environ, kind, name, version):
     actor = environ.get("HTTP_TARRAGON_ACTOR", "unknown")
-    actor = "".join(c for c in actor if c.isprintable())[:MAX_ACTOR]
+    actor = "".join(c for c in actor if c.isprintable())[:MAX_ACTOR_LENGTH]
     return audit.Change(
         actor=actor,
         remote=environ.get("REMOTE_ADDR", ""),
@@ -327,48 +329,47 @@
     if kind not in list(DECLARED_KINDS):
         known = ", ".join(DECLARED_KINDS)
         message = f"kind: {kind!r} cannot be declared; use one of {known}"
-        raise _RefusedCallError(400, "declaration refused", [message])
+        raise _CallError(400, "declaration refused", [message])
     name, spec = raw.get("name"), raw.get("spec")
     if not isinstance(name, str) or not isinstance(spec, dict):
         message = "expected name (text) and spec (mapping)"
-        raise _RefusedCallError(400, "declaration refused", [message])
+        raise _CallError(400, "declaration refused", [message])
     return Declaration(kind, name, spec)
 
 
-def _without_own_fields(spec):
+def _without_system_fields(spec):
     return {key: value for key, value in spec.items() if key not in OWN_FIELDS}
 
 
-def _structured(items, wanted):
+def _parsed(items, wanted):
     found = {item.name: structure(item.spec, wanted) for item in items}
     return {n: item.unwrap() for n, item in found.items() if is_successful(item)}
 
 
-def _json_body(environ):
-    length = _number(environ.get("CONTENT_LENGTH") or "0", "Content-Length")
+def _parse_json_body(environ):
+    length = _parse_number(environ.get("CONTENT_LENGTH") or "0", "Content-Length")
     if length > MAX_BODY_BYTES:
-        raise _RefusedCallError(413, f"longer than {MAX_BODY_BYTES} bytes")
+        raise _CallError(413, f"longer than {MAX_BODY_BYTES} bytes")
     try:
         return json.loads(environ["wsgi.input"].read(length))
     except ValueError as error:
-        raise _RefusedCallError(400, f"the body is not JSON: {error}") from error
+        raise _CallError(400, f"the body is not JSON: {error}") from error
 
 
-def _number(text, what):
+def _parse_number(text, what):
     if not text.isascii() or not text.isdigit():
-        raise _RefusedCallError(400, f"{what}: {text!r} is not a whole number")
+        raise _CallError(400, f"{what}: {text!r} is not a whole number")
     return int(text)
 
 
 def _reply(result, changes=False):
-    """Return status and payload of a platform result.
+    """Return the HTTP status and payload for a platform result.
 
     Parameters
     ----------
     result : Result
     changes : bool, default=False
-        Whether the call would have changed something: without an answer, nobody
-        can say whether it has.
+        Whether the call was a write: without a response its outcome is unknown.
     """
     if is_successful(result):
         value = result.unwrap()
--- a/src/tarragonramp/roles/overview.py
+++ b/src/tarragonramp/roles/overview.py
@@ -1,4 +1,4 @@
-"""What operators see: intended against in force, and who owns a key."""
+"""Status for operators: intended and effective configuration, and owners of keys."""
 
 import random
 
@@ -20,13 +20,13 @@
 
 __all__ = ["Overview"]
 
-ASKED_PER_DOMAIN = 20
-ASK_MS = 500
+MAX_CHECKS_PER_DOMAIN = 20
+CHECK_TIMEOUT_MS = 500
 
 
 @attrs.define(eq=False, repr=False)
 class Overview:
-    """Answers operators' questions that change nothing.
+    """Answers operators' queries.
 
     Parameters
     ----------
@@ -34,7 +34,7 @@
     view : View
     platform : Platform
     pools : HttpPools
-        To ask other daemons whether they are there.
+        For health checks of other daemons.
     """
 
     me: object
@@ -48,17 +48,17 @@
         return found | {vm.failure_domain for vm in self.view.vms.values()}
 
     def services(self):
-        """Return the services and their slices, without asking anybody."""
+        """Return the services and their slices, from the local view only."""
         return [
             self._service_row(team, service)
             for (team, _), service in sorted(self.view.services().items())
         ]
 
     def status(self):
-        """Return what is intended, and what is in force in each failure domain."""
-        intended, statuses, reached = self._intended()
+        """Return the intended version, and the one in force in each failure domain."""
+        intended, statuses, reached = self._intended_state()
         names = sorted(self.domains() | set(statuses))
-        tasks = [gevent.spawn(self._silent, name) for name in names]
+        tasks = [gevent.spawn(self._failing_daemons, name) for name in names]
         gevent.joinall(tasks)
         domains = [
             self._domain_row(name, statuses.get(name), intended, task.value)
@@ -78,10 +78,13 @@
             "services": self.services(),
         }
 
-    def _intended(self):
-        """Return the newest configuration, Status specs, and if they are fresh."""
+    def _intended_state(self):
+        """Return the intended version, the Status specs, and whether both are current.
+
+        They are not if the platform could not be reached; the view is used then.
+        """
         kinds = (*CONFIGURED_KINDS, KIND_STATUS)
-        # At the same time: a slow platform is waited for once, not four times.
+        # In parallel, so that a slow platform delays the call once, not four times.
         tasks = [gevent.spawn(self.platform.list, kind) for kind in kinds]
         gevent.joinall(tasks)
         *configured, found = [task.value for task in tasks]
@@ -93,23 +96,22 @@
         statuses |= {item.name: item.spec for item in found.value_or([])}
         return max(versions), statuses, reached
 
-    def _silent(self, failure_domain):
-        """Return the daemons of a failure domain that do not answer this one.
+    def _failing_daemons(self, failure_domain):
+        """Return the daemons of a failure domain that fail a health check.
 
-        A Status stays as it was when the whole failure domain is lost or cut off:
-        nobody is left there to write a new one. In a large failure domain only
-        some are asked.
+        Needed because a failure domain that is lost or cut off cannot update its
+        Status. In a large failure domain only a random sample is checked.
         """
         members = self._members(failure_domain)
-        asked = random.sample(members, min(len(members), ASKED_PER_DOMAIN))
-        tasks = [gevent.spawn(self._is_there, member) for member in asked]
+        sampled = random.sample(members, min(len(members), MAX_CHECKS_PER_DOMAIN))
+        tasks = [gevent.spawn(self._is_healthy, member) for member in sampled]
         gevent.joinall(tasks)
-        found = zip(asked, tasks, strict=True)
+        found = zip(sampled, tasks, strict=True)
         return sorted(member.name for member, task in found if not task.value)
 
-    def _is_there(self, member):
+    def _is_healthy(self, member):
         pool = self.pools.at(member.control_address)
-        result = pool.exchange("GET", "/healthy", (), b"", ASK_MS)
+        result = pool.exchange("GET", "/healthy", (), b"", CHECK_TIMEOUT_MS)
         return is_successful(result) and result.unwrap().status == 200
 
     def _members(self, failure_domain):
@@ -120,7 +122,7 @@
         ]
 
     def _domain_row(self, name, status, intended, silent):
-        order = self.view.get(KIND_FAILURE_DOMAIN, name) or FailureDomain()
+        declared = self.view.get(KIND_FAILURE_DOMAIN, name) or FailureDomain()
         version = status["version"] if status else 0
         daemons = [member.name for member in self._members(name)]
         lagging = status["lagging"] if status else sorted(daemons)
@@ -128,17 +130,17 @@
             lagging = [status["reporter"]] if status else []
         return {
             "failure_domain": name,
-            "order": order.state,
+            "order": declared.state,
             "daemons": len(daemons),
-            "answers": len(silent) < min(len(daemons), ASKED_PER_DOMAIN),
+            "answers": len(silent) < min(len(daemons), MAX_CHECKS_PER_DOMAIN),
             "silent": silent,
             "in_force_version": version,
             "in_force": version >= intended and not lagging,
             "lagging": lagging,
-            "slices_owned": self._slices_in(name),
+            "slices_owned": self._n_slices_owned(name),
         }
 
-    def _slices_in(self, failure_domain):
+    def _n_slices_owned(self, failure_domain):
         return sum(
             1
             for assignment in self.view.all_of(KIND_ASSIGNMENT).values()
@@ -162,7 +164,7 @@
         }
 
     def explain(self, team, name, key):
-        """Return a status code, and who owns a key and why."""
+        """Return an HTTP status code, and the owner of a key with the reason."""
         service = self.view.services().get((team, name))
         if service is None or not service.divided:
             known = sorted(
@@ -192,11 +194,11 @@
             "assignment_version": self.view.version_of(
                 KIND_ASSIGNMENT, assignment_name(team, name)
             ),
-            "why": _why(item, vm, self.view),
+            "why": _explain_owner(item, vm, self.view),
         }
 
 
-def _why(item, vm, view):
+def _explain_owner(item, vm, view):
     if item.state == RELEASING:
         return "moving: the old owner is not yet proved to have let go"
     if item.state != OWNED:
--- a/src/tarragonramp/roles/status.py
+++ b/src/tarragonramp/roles/status.py
@@ -1,4 +1,7 @@
-"""Which configuration is in force in a failure domain: one Status object for each."""
+"""Reports which configuration version a failure domain has in force.
+
+Each failure domain has one Status object.
+"""
 
 import json
 
@@ -14,19 +17,20 @@
 __all__ = ["IN_FORCE_TARGET", "StatusReporter"]
 
 IN_FORCE_TARGET = "/peer/in-force"
-IDLE_MS = 1000
-AVOID_MS = 10_000
-MAX_NAMED = 20
-"""Most daemons that a Status names as lagging: the value stays small."""
+POLL_INTERVAL_MS = 1000
+SKIP_REPORTER_MS = 10_000
+MAX_LAGGING_NAMED = 20
+"""Maximum number of lagging daemons named in a Status, which bounds its size."""
 
 
 @attrs.define(eq=False, repr=False)
 class StatusReporter:
-    """Tells what is in force here, and writes for the failure domain if it is its turn.
+    """Reports the version in force here, and writes the Status if this is the reporter.
 
-    Each daemon tells the first daemon of its failure domain, by name, whenever its
-    configuration has changed; that one writes. So a change costs a message a daemon
-    and one or two writes a failure domain, and nothing while nothing changes.
+    The reporter of a failure domain is its first daemon by name. Every other daemon
+    sends it a message when its own version changes, and the reporter writes the
+    Status. So a change costs one message per daemon and one or two writes per failure
+    domain, and nothing while nothing changes.
 
     Parameters
     ----------
@@ -48,29 +52,29 @@
     clock: object
     timing: object
     _versions: dict = attrs.Factory(dict)
-    _told: tuple = ()
-    _avoided_until_ms: dict = attrs.Factory(dict)
+    _last_report: tuple = ()
+    _skipped_until_ms: dict = attrs.Factory(dict)
     _newest: int = 0
     _newest_since_ms: float = 0.0
     _changed: Event = attrs.Factory(Event)
 
     def run(self):
-        """Tell or write whenever there is something new, for ever."""
+        """Send or write a report after each change. Never returns."""
         self.view.on_change(self._changed.set)
         while True:
             self._changed.clear()
-            reporter = self._reporter()
+            reporter = self._choose_reporter()
             if reporter is None or reporter.identity == self.me.identity:
-                self.take(self.me.identity, self.view.config_version)
+                self.record_version(self.me.identity, self.view.config_version)
                 self._write()
             else:
-                self._tell(reporter)
-            self._changed.wait(IDLE_MS / 1000.0)
-            # Several changes at once make one message and one write.
+                self._report_to(reporter)
+            self._changed.wait(POLL_INTERVAL_MS / 1000.0)
+            # Batches changes that arrive together into one message and one write.
             gevent.sleep(self.timing.status_ms / 1000.0)
 
-    def take(self, identity, version):
-        """Note what another daemon of the failure domain has in force.
+    def record_version(self, identity, version):
+        """Record the version that a daemon of the failure domain has in force.
 
         Parameters
         ----------
@@ -81,13 +85,13 @@
             self._versions[identity] = version
             self._changed.set()
 
-    def _reporter(self):
+    def _choose_reporter(self):
         now_ms = self.clock.now_ms()
         for name in sorted(self._members()):
             member = self._members()[name]
             if member.identity == self.me.identity:
                 return member
-            if self._avoided_until_ms.get(member.identity, 0.0) <= now_ms:
+            if self._skipped_until_ms.get(member.identity, 0.0) <= now_ms:
                 return member
         return None
 
@@ -98,11 +102,11 @@
             if member.failure_domain == self.me.failure_domain
         }
 
-    def _tell(self, reporter):
-        news = (reporter.identity, self.view.config_version)
-        if news == self._told:
+    def _report_to(self, reporter):
+        report = (reporter.identity, self.view.config_version)
+        if report == self._last_report:
             return
-        body = json.dumps({"identity": self.me.identity, "version": news[1]}).encode()
+        body = json.dumps({"identity": self.me.identity, "version": report[1]}).encode()
         result = self.pools.at(reporter.control_address).exchange(
             "POST",
             IN_FORCE_TARGET,
@@ -111,15 +115,16 @@
             self.timing.control_timeout_ms,
         )
         if is_successful(result) and result.unwrap().status == 200:
-            self._told = news
+            self._last_report = report
             return
-        # It may be dead and still registered: the next one reports meanwhile.
-        until_ms = self.clock.now_ms() + AVOID_MS
-        self._avoided_until_ms[reporter.identity] = until_ms
+        # It may be dead and still registered, so the next daemon is the reporter for
+        # some time.
+        until_ms = self.clock.now_ms() + SKIP_REPORTER_MS
+        self._skipped_until_ms[reporter.identity] = until_ms
         self._changed.set()
 
     def _write(self):
-        status = self._status()
+        status = self._build_status()
         name = self.me.failure_domain
         held = self.view.stored(KIND_STATUS, name)
         if held is not None and held.spec == status:
@@ -138,7 +143,7 @@
             self.view.apply(error.current)
         log_event("status-not-written", failure_domain=name, error=error)
 
-    def _status(self):
+    def _build_status(self):
         members = self._members()
         versions = {
             name: self._versions.get(member.identity, 0)
@@ -156,6 +161,6 @@
             "reporter": self.me.name,
             "daemons": len(members),
             "version": min(versions.values(), default=0),
-            "lagging": lagging[:MAX_NAMED],
+            "lagging": lagging[:MAX_LAGGING_NAMED],
             "n_lagging": len(lagging),
         }
--- a/src/tarragonramp/roles/writes.py
+++ b/src/tarragonramp/roles/writes.py
@@ -1,4 +1,4 @@
-"""Conditional updates that say what became of them, also after a lost answer."""
+"""Conditional updates whose outcome is determined even if a response is lost."""
 
 import gevent
 from returns.pipeline import is_successful
@@ -12,18 +12,18 @@
     PlatformUnreachableError,
 )
 
-__all__ = ["delete_surely", "put_surely"]
+__all__ = ["delete_until_resolved", "put_until_resolved"]
 
 RETRY_MS = 200
 
 
-def put_surely(platform, clock, stored, until_ms) -> Result:
-    """Write an object, and find out whether the write took effect.
+def put_until_resolved(platform, clock, stored, until_ms) -> Result:
+    """Write an object, retrying until it is known whether the write took effect.
 
-    An answer can be lost after the change has taken effect, and the write can still
-    land later: reading the old version back proves nothing. The same update is sent
-    again instead. It is conditional on the same version, so it cannot run twice,
-    and a conflict that shows the own request id is a success.
+    A response can be lost after the write took effect, and a write without a response
+    can still take effect later, so reading the old version back proves nothing. The
+    same update is sent again instead: it is conditional on the same version, so it
+    cannot take effect twice, and a conflict that shows its own request id is a success.
 
     Parameters
     ----------
@@ -32,32 +32,32 @@
     stored : Stored
         With the version the update is conditional on; its spec has a ``request_id``.
     until_ms : float
-        When to give up, on the clock.
+        Deadline, as a reading of the clock.
 
     Returns
     -------
     stored : Success of Stored, or Failure of PlatformError
-        ConflictError if another write was first; OvertakenError if the own write
-        may have been in force before that; PlatformNotSentError if it did not run;
-        PlatformUnreachableError if nobody can say.
+        ConflictError if another write came first; OvertakenError if this write may
+        have been in effect before that one; PlatformNotSentError if it was never
+        sent; PlatformUnreachableError if its outcome is unknown.
     """
 
     def attempt():
         return platform.put(stored.kind, stored.name, stored.spec, stored.version)
 
-    def is_own(current):
+    def is_own_write(current):
         return current.spec.get("request_id") == stored.spec["request_id"]
 
-    return _until_known(attempt, is_own, clock, until_ms)
+    return _retry_until_resolved(attempt, is_own_write, clock, until_ms)
 
 
-def delete_surely(platform, clock, kind, name, version, until_ms) -> Result:
-    """Delete an object, and find out whether it is gone.
+def delete_until_resolved(platform, clock, kind, name, version, until_ms) -> Result:
+    """Delete an object, retrying until it is known whether it is deleted.
 
     Returns
     -------
     stored : Success of Stored or None, or Failure of PlatformError
-        None if it was found to be gone after a lost answer.
+        None if it was found to be deleted after a lost response.
     """
     in_doubt = []
 
@@ -73,10 +73,10 @@
             in_doubt.append(error)
         return result
 
-    return _until_known(attempt, lambda current: False, clock, until_ms)
+    return _retry_until_resolved(attempt, lambda current: False, clock, until_ms)
 
 
-def _until_known(attempt, is_own, clock, until_ms):
+def _retry_until_resolved(attempt, is_own_write, clock, until_ms):
     in_doubt = False
     while True:
         result = attempt()
@@ -84,7 +84,7 @@
             return result
         error = result.failure()
         if isinstance(error, ConflictError):
-            if error.current is not None and is_own(error.current):
+            if error.current is not None and is_own_write(error.current):
                 return Success(error.current)
             if in_doubt:
                 error = OvertakenError(error.expected_version, error.current)
