--- a/src/tarragonramp/roles/membership.py
+++ b/src/tarragonramp/roles/membership.py
@@ -81,8 +81,8 @@
         if earlier is None or earlier.identity == self.me.identity:
             return
         unproven = earlier.unproven
-        own = (self.me.control_address, self.me.peer_address)
-        if (earlier.control_address, earlier.peer_address) != own:
+        own_addresses = (self.me.control_address, self.me.peer_address)
+        if (earlier.control_address, earlier.peer_address) != own_addresses:
             unproven += (earlier.boot_id,)
         self.me = attrs.evolve(self.me, unproven=unproven)
 
@@ -121,8 +121,8 @@
             Empty if there is none.
         """
         members = self.view.members()
-        near, far = self._ring(members)
-        names = near if same_domain_only else far + near
+        local, remote = self._ring(members)
+        names = local if same_domain_only else remote + local
         for name in names:
             identity = members[name].identity
             if not self.seems_down(identity) and not self.is_leaving(identity):
@@ -135,12 +135,16 @@
         Cached per set of members, as it is needed at every ping and tick.
         """
         if self._rings_members is not members:
-            own = self.me.failure_domain
-            near = sorted(n for n, m in members.items() if m.failure_domain == own)
-            far = sorted(n for n, m in members.items() if m.failure_domain != own)
+            own_domain = self.me.failure_domain
+            local = sorted(
+                n for n, m in members.items() if m.failure_domain == own_domain
+            )
+            remote = sorted(
+                n for n, m in members.items() if m.failure_domain != own_domain
+            )
             self._rings_members = members
             self._rings = tuple(
-                _rotate_after(self.me.name, part) for part in (near, far)
+                _rotate_after(self.me.name, part) for part in (local, remote)
             )
         return self._rings
 
@@ -221,11 +225,11 @@
         which must be known to answer before it is named; and every few rounds to the
         next daemon of any failure domain.
         """
-        near = self.successor(True)
-        found = {near} | self.named()
+        local = self.successor(True)
+        found = {local} | self.named()
         found |= {name for name in self._missed_pings if self.view.member_of(name)}
         self._rounds += 1
-        if not near or self._rounds % REMOTE_PING_ROUNDS == 0:
+        if not local or self._rounds % REMOTE_PING_ROUNDS == 0:
             found.add(self.successor(False))
         return found - {""}
 
--- a/src/tarragonramp/roles/planner.py
+++ b/src/tarragonramp/roles/planner.py
@@ -66,7 +66,7 @@
         Returns
         -------
         accepted : bool
-            False if this daemon is not the planner of one of the teams.
+            False if this daemon is not the planner of every reported team.
         """
         accepted = True
         for report in reports:
--- a/src/tarragonramp/roles/steward.py
+++ b/src/tarragonramp/roles/steward.py
@@ -31,7 +31,28 @@
 
 @attrs.define
 class _ManagedServer:
-    """A backend server that this daemon is steward of, with its grants and gate."""
+    """A backend server that this daemon is steward of.
+
+    Parameters
+    ----------
+    vm : Vm
+    role : str
+        Name of the steward's term.
+    service : Service
+    ledger : GrantLedger
+    gate : Gate
+    checks : bool
+        Whether the server refuses superseded stewards.
+    condition : {"up", "silent", "unknown"}
+    last_answer_ms : float
+        When the server last answered, at first when this was created.
+    last_report_key : tuple
+        The newest report that the planner accepted.
+    report_in_flight : bool
+    seen_assignment_version : int
+    changed : Event
+        Set to renew without waiting for the next interval.
+    """
 
     vm: object
     role: str
@@ -119,8 +140,8 @@
         Returns
         -------
         released : list of int
-            Slices that the server does not own. Valid as long as the assignment names
-            this steward's term.
+            Slices for which the server cannot act as owner any more. Valid as long as
+            the assignment names this steward's term.
         proof : str
             Kinds of proof, comma-separated.
         """
--- a/src/tarragonramp/roles/terms.py
+++ b/src/tarragonramp/roles/terms.py
@@ -106,7 +106,7 @@
 
         With hundreds of VMs most roles belong to other daemons, and only a change of
         the view can require action here. So all roles are checked after a change, and
-        only the open ones at each tick: checking all of them at each tick takes more
+        only those that may need action at each tick: checking all of them takes more
         than a daemon's share of a core.
         """
         self.view.on_change(self._on_view_change)
@@ -203,7 +203,7 @@
 
         The VM is None for a planner's role.
         """
-        own = self.membership.me.failure_domain
+        own_domain = self.membership.me.failure_domain
         identity = self.membership.me.identity
         services = self.view.services()
         for vm in list(self.view.vms.values()):
@@ -212,7 +212,7 @@
             role = steward_role(vm.team, vm.service, vm.name)
             term = self.view.term(role)
             is_named = term is not None and identity in (term.holder, term.successor)
-            if vm.failure_domain == own or is_named or role in self._states:
+            if vm.failure_domain == own_domain or is_named or role in self._states:
                 yield role, vm
         for team in {team for team, _ in services}:
             yield planner_role(team), None
@@ -293,11 +293,11 @@
         return waited_ms >= self._claim_rank(role, vm) * CLAIM_STAGGER_MS
 
     def _claim_rank(self, role, vm):
-        own = self.membership.me.failure_domain
+        own_domain = self.membership.me.failure_domain
         names = [
             name
             for name, member in self.view.members().items()
-            if vm is None or member.failure_domain == own
+            if vm is None or member.failure_domain == own_domain
         ]
         names.sort(key=lambda name: _rendezvous(role, name))
         me = self.membership.me.name
@@ -322,14 +322,14 @@
         if vm is None:
             return self.membership.successor(False), False
         if self._is_local(vm):
-            near = self.membership.successor(True)
-            if near:
-                return near, False
+            local = self.membership.successor(True)
+            if local:
+                return local, False
         service = self.view.services().get((vm.team, vm.service))
         if service is None or not service.checks_grants:
             return "", False
-        outsider = self.membership.successor(False)
-        return outsider, bool(outsider)
+        remote = self.membership.successor(False)
+        return remote, bool(remote)
 
     def _grant_ms(self, vm):
         service = vm and self.view.services().get((vm.team, vm.service))
--- a/src/tarragonramp/roles/writes.py
+++ b/src/tarragonramp/roles/writes.py
@@ -64,10 +64,10 @@
     def attempt():
         result = platform.delete(kind, name, version)
         error = None if is_successful(result) else result.failure()
-        gone = isinstance(error, NotFoundError) or (
+        is_deleted = isinstance(error, NotFoundError) or (
             isinstance(error, ConflictError) and error.current is None
         )
-        if gone and in_doubt:
+        if is_deleted and in_doubt:
             return Success(None)
         if isinstance(error, PlatformUnreachableError):
             in_doubt.append(error)
