--- a/src/tarragonramp/roles/follower.py
+++ b/src/tarragonramp/roles/follower.py
@@ -1,9 +1,8 @@
-"""Keeps a daemon's view up with the store: itself, or through the leader.
+"""Keeps a daemon's view up to date with the store, directly or through the leader.
 
-A watch costs a call for each daemon that waits, so most daemons lean on the leader,
-which passes on what it learns at once. A daemon that does not hear from the leader, or
-hears that the leader does not reach the store, turns to the store itself; and while the
-store fails it asks its peers.
+Each daemon that watches the store costs calls, so most daemons follow the leader, which
+passes on its updates at once. A daemon whose leader does not respond, or is cut off
+from the store, follows the store itself; while the store fails it asks its peers.
 """
 
 import math
@@ -29,59 +28,64 @@
 MANIFEST_NAME = "main"
 
 WATCH_MS = 5000
-"""Longest wait for changes. Its end is the only sign that the answer to a watch was
-lost: those of both daemons that follow the store may be, and then nobody would hear of
-a server that leaves. Three times as long would save a call a second, of all daemons
-together."""
+"""Longest time that a watch waits for changes.
 
-TROUBLED_WATCH_MS = 800
-"""The same while other calls to the store fail."""
+Only its end reveals that the response to a watch was lost. If the responses to both
+daemons that follow the store are lost, no daemon hears of a leaving server until then.
+A value three times as long would save one call a second over all daemons."""
 
-FIRST_PAUSE_MS, LAST_PAUSE_MS = 100.0, 800.0
-"""Between calls to a store that fails. The first is short, since most failures are
-single lost answers; the last is what a daemon may add to the load of a store that is
-coming back."""
+WATCH_MS_AFTER_FAILURE = 800
+"""Longest time of a watch while other calls to the store fail."""
 
-DEAF_MS = 400.0
-"""How long the store has to fail until this daemon counts as cut off from it. Load:
-single lost answers, after which the next call, a tenth of a second later, is answered.
-Harm prevented: other daemons turning to the store for each of them."""
+MIN_RETRY_MS, MAX_RETRY_MS = 100.0, 800.0
+"""Minimum and maximum delay between calls to a store that fails.
 
-TROUBLE_MS = 6000.0
-"""How long after the store failed a server's entry that disappears may come back."""
+The minimum is short, since most failures are single lost responses. The maximum limits
+the load that a daemon adds to a store that is recovering."""
 
-DIFFERING_MS = 500.0
-"""How long a peer may know something else before this daemon reads anew. Longer than
-changes take to arrive everywhere, and short beside the two seconds in which they have
-to be in force."""
+CUT_OFF_AFTER_MS = 400.0
+"""How long the store has to fail until this daemon counts as cut off from it.
 
-MASS_LOSS = 3
-"""As many entries that disappear at once point to an outage of the store that this
-daemon did not see; single servers leave one by one."""
+After a single lost response the next call, a tenth of a second later, succeeds. Other
+daemons should not turn to the store for each of these."""
+
+FAILURE_AFTERMATH_MS = 6000.0
+"""How long after a failure of the store a missing server entry may come back."""
+
+MISMATCH_TIMEOUT_MS = 500.0
+"""How long a peer's state may differ before this daemon reads the store again.
+
+It is longer than changes take to reach all daemons, and short compared with the two
+seconds in which they have to be in force."""
+
+MASS_LOSS_COUNT = 3
+"""Number of entries whose simultaneous loss indicates an outage of the store.
+
+This daemon may not have noticed the outage; servers normally leave one by one."""
 
 
 @attrs.define(eq=False, repr=False)
 class Follower:
-    """Follows the kinds of objects that a daemon's view is made of.
+    """Follows the kinds of objects that a daemon's view consists of.
 
     Parameters
     ----------
     view : FleetView
     store : Platform
-        With ``snapshot`` and ``watch`` by kind.
+        Provides ``snapshot`` and ``watch`` by kind.
     peers : FleetPeers
         Asked while the store fails.
     ports : FleetPorts
-        Decodes what others write.
+        Decodes objects that other programs write.
     clock : Clock
     versions : dict of str to int
         By kind, the store's version up to which it was read.
     changed : dict of str to int
-        By kind, the store's version at which something was last found changed.
+        By kind, the store's version at which the last change was found.
     objects : dict of str to dict
-        By kind and name, what was read.
+        By kind and name, the objects read.
     failing_since_ms : dict of str to float
-        The kinds that could not be read, and since when.
+        By kind, since when it could not be read.
     history : TableHistory
     """
 
@@ -95,65 +99,65 @@
     objects: dict = attrs.Factory(dict)
     failing_since_ms: dict = attrs.Factory(dict)
     history: TableHistory = attrs.Factory(TableHistory)
-    _trouble_ms: float = float("-inf")
-    _own: Event = attrs.Factory(Event)
-    _unread: set = attrs.Factory(set)
+    _last_failure_ms: float = float("-inf")
+    _follows_store: Event = attrs.Factory(Event)
+    _logged_unreadable: set = attrs.Factory(set)
     _to_reread: set = attrs.Factory(set)
-    _reading: dict = attrs.Factory(dict)
-    _asking: set = attrs.Factory(set)
+    _watch_tasks: dict = attrs.Factory(dict)
+    _kinds_catching_up: set = attrs.Factory(set)
     _removals: dict = attrs.Factory(dict)
     _roster: tuple = (None, Roster.of(()))
     _differs_since_ms: dict = attrs.Factory(dict)
     _rng: random.Random = attrs.Factory(random.Random)
 
     def run(self, kind):
-        """Follow one kind, for ever."""
-        pause_ms = FIRST_PAUSE_MS
+        """Follow one kind, forever."""
+        pause_ms = MIN_RETRY_MS
         while True:
-            self._own.wait()
-            if self._advance(kind):
-                pause_ms = FIRST_PAUSE_MS
+            self._follows_store.wait()
+            if self._read_next(kind):
+                pause_ms = MIN_RETRY_MS
                 continue
-            self._ask_peer(kind)
+            self._fetch_from_peer(kind)
             gevent.sleep(pause_ms * (0.5 + self._rng.random()) / 1000.0)
-            pause_ms = min(LAST_PAUSE_MS, pause_ms * 2)
+            pause_ms = min(MAX_RETRY_MS, pause_ms * 2)
 
     @property
-    def uses_store(self):
+    def follows_store(self):
         """Whether this daemon follows the store itself."""
-        return self._own.is_set()
+        return self._follows_store.is_set()
 
     @property
     def hears_store(self):
-        """Whether it does, and nothing has failed for longer than a moment."""
-        return self.uses_store and self.is_synced and self.deaf_in_ms > 0
+        """Whether this daemon follows the store and is not cut off from it."""
+        return self.follows_store and self.is_synced and self.ms_until_cut_off > 0
 
     @property
-    def deaf_in_ms(self):
-        """How long until it counts as cut off from the store if nothing changes."""
+    def ms_until_cut_off(self):
+        """Time until this daemon counts as cut off if no call succeeds."""
         since_ms = min(self.failing_since_ms.values(), default=math.inf)
-        return since_ms + DEAF_MS - self.clock.now_ms()
+        return since_ms + CUT_OFF_AFTER_MS - self.clock.now_ms()
 
-    def use_store(self, reason):
-        """Turn to the store; what is known is read anew."""
-        if self.uses_store:
+    def follow_store(self, reason):
+        """Start to follow the store, and read everything again."""
+        if self.follows_store:
             return
         log_event("store-followed", reason=reason)
         self._to_reread.update(FOLLOWED_KINDS)
-        self._own.set()
+        self._follows_store.set()
 
-    def lean_on(self, leader):
-        """Leave the store to a leader that passes on what it learns."""
-        if not self.uses_store:
+    def follow_leader(self, leader):
+        """Stop following the store, and rely on the leader's updates."""
+        if not self.follows_store:
             return
         log_event("leader-followed", leader=leader)
-        self._own.clear()
+        self._follows_store.clear()
         self.failing_since_ms.clear()
-        for task in list(self._reading.values()):
+        for task in list(self._watch_tasks.values()):
             task.kill(block=False)
 
     def run_missing(self):
-        """Drop servers that did not come back after an outage, for ever."""
+        """Drop servers that did not come back after an outage, forever."""
         while True:
             gevent.sleep(0.25)
             for name in self.view.directory.drop_missing():
@@ -170,39 +174,39 @@
 
     @property
     def is_synced(self):
-        """Whether everything was read at least once."""
+        """Whether all kinds have been read at least once."""
         return all(kind in self.versions for kind in FOLLOWED_KINDS)
 
     def news_since(self, versions):
-        """Return what has changed since some versions, as plain data.
+        """Return the changes since some versions, as plain data.
 
         Parameters
         ----------
         versions : dict of str to int
-            By kind, the version that the asking daemon has.
+            By kind, the version that the requesting daemon has.
 
         Returns
         -------
-        news : dict of str to dict
-            By kind: the version here, how long ago the store was in trouble (None if
-            that is long past), those objects that are newer, of tables of ranges only
-            what has changed, and either the names of those that are gone and the
-            version since which, or the names of all; of servers also for how many ms
-            those that may come back have been missing.
+        updates : dict of str to dict
+            By kind: the version here; how long ago the store last failed (None if that
+            is long past); the newer objects, of tables of ranges only the changes; and
+            either the names of removed objects and the version since which they were
+            removed, or the names of all objects. For servers also how many ms those
+            that may come back have been missing.
         """
         return {
-            kind: self._news_of_kind(kind, versions.get(kind, 0))
+            kind: self._updates_of_kind(kind, versions.get(kind, 0))
             for kind, version in self.changed.items()
             if version > versions.get(kind, 0)
         }
 
-    def _news_of_kind(self, kind, since_version):
+    def _updates_of_kind(self, kind, since_version):
         objects = self.objects[kind]
-        news = {
+        updates = {
             "version": self.changed[kind],
-            "trouble_ms_ago": self._trouble_ms_ago(),
+            "trouble_ms_ago": self._failure_age_ms(),
             "objects": [
-                self._news_of(item, since_version)
+                self._row_of(item, since_version)
                 for item in objects.values()
                 if item.version > since_version
             ],
@@ -210,13 +214,20 @@
         missing_ms = self.view.directory.all_missing_ms() if kind == SERVER else {}
         removed = self._removals_of(kind).since(since_version)
         if removed is None:
-            return {**news, "names": list(objects), "missing_ms": missing_ms}
+            return {**updates, "names": list(objects), "missing_ms": missing_ms}
         gone = [name for name in removed if name not in objects]
-        told_ms = {name: missing_ms[name] for name in gone if name in missing_ms}
-        return {**news, "since": since_version, "gone": gone, "missing_ms": told_ms}
+        still_missing_ms = {
+            name: missing_ms[name] for name in gone if name in missing_ms
+        }
+        return {
+            **updates,
+            "since": since_version,
+            "gone": gone,
+            "missing_ms": still_missing_ms,
+        }
 
-    def _news_of(self, item, since_version):
-        """Return an object as a row: whole, or what changed and since which version."""
+    def _row_of(self, item, since_version):
+        """Return an object as a row: whole, or as changes since a base version."""
         changes = None
         if item.kind == RANGES:
             changes = self.history.changes(item.name, since_version)
@@ -225,25 +236,32 @@
         base_version, spec = changes
         return [item.name, item.version, spec, base_version]
 
-    def take_news(self, news):
-        """Take in what another daemon has passed on; ValueError if malformed."""
+    def take_news(self, updates):
+        """Apply the updates of another daemon.
+
+        Raises
+        ------
+        ValueError
+            If they are malformed.
+        """
         for kind in FOLLOWED_KINDS:
-            found = news.get(kind)
+            found = updates.get(kind)
             if found is None or found["version"] < self.versions.get(kind, 0):
                 continue
-            self._hear_of_trouble(found.get("trouble_ms_ago"))
+            self._note_peer_failure_age(found.get("trouble_ms_ago"))
             if "gone" in found and found["since"] != self.changed.get(kind, 0):
-                # Told for an older state than this daemon now has; it asks again.
+                # The updates are relative to an older state than this daemon's; it asks
+                # again.
                 continue
             known = dict(self.objects.get(kind, {}))
-            items = [self._object_of(kind, *row) for row in found["objects"]]
+            items = [self._object_from_row(kind, *row) for row in found["objects"]]
             known.update((item.name, item) for item in items if item is not None)
             if "gone" in found:
                 names = known.keys() - set(found["gone"])
             else:
                 names = set(found["names"])
             if None in items or not names <= known.keys():
-                # It counted on something that this daemon does not have.
+                # The updates rely on objects that this daemon does not have.
                 self.versions.pop(kind, None)
                 self.changed.pop(kind, None)
                 continue
@@ -254,17 +272,19 @@
     def _removals_of(self, kind):
         return self._removals.setdefault(kind, Removals())
 
-    def _hear_of_trouble(self, ms_ago):
-        """Take in how long ago another daemon found the store in trouble.
+    def _note_peer_failure_age(self, age_ms):
+        """Adopt the age of a store failure that another daemon reports, if it is later.
 
-        Its age, since daemons that tell each other only that there was trouble keep
-        it alive among themselves.
+        Daemons exchange the age, since the mere fact of a failure would be passed back
+        and forth between them forever.
         """
-        if ms_ago is not None:
-            self._trouble_ms = max(self._trouble_ms, self.clock.now_ms() - ms_ago)
+        if age_ms is not None:
+            self._last_failure_ms = max(
+                self._last_failure_ms, self.clock.now_ms() - age_ms
+            )
 
-    def _object_of(self, kind, name, version, spec, base_version=None):
-        """Return an object as a peer told it; None if its base is not known here."""
+    def _object_from_row(self, kind, name, version, spec, base_version=None):
+        """Return the object in a peer's row; None if its base is not known here."""
         if base_version is None:
             return Stored(kind, name, version, spec)
         if self.view.table_version(name) != base_version:
@@ -274,11 +294,11 @@
         table = base.with_ranges(changed.ranges, changed.addresses)
         return Stored(kind, name, version, table.to_spec())
 
-    def compare(self, peer, digest):
-        """Take in what a peer knows; read anew what has differed for some time.
+    def compare_digests(self, peer, digest):
+        """Compare a peer's state with this daemon's; read again what differs for long.
 
-        Guards against a watch whose answer was lost: it waits on a connection that
-        seems to be alive, and this daemon would go on with what it knew.
+        This guards against a watch whose response was lost: it waits on a connection
+        that appears to be alive, and this daemon would keep outdated state.
         """
         own, now_ms = self.view.digest(), self.clock.now_ms()
         for kind, known in own.items():
@@ -286,53 +306,53 @@
                 self._differs_since_ms.pop((kind, peer), None)
                 continue
             since_ms = self._differs_since_ms.setdefault((kind, peer), now_ms)
-            task = self._reading.get(kind)
-            if now_ms - since_ms >= DIFFERING_MS and task is not None:
+            task = self._watch_tasks.get(kind)
+            if now_ms - since_ms >= MISMATCH_TIMEOUT_MS and task is not None:
                 log_event("peer-differs", kind=kind, peer=peer)
-                self._differs_since_ms[kind, peer] = now_ms + DIFFERING_MS
+                self._differs_since_ms[kind, peer] = now_ms + MISMATCH_TIMEOUT_MS
                 task.kill(block=False)
 
-    def _advance(self, kind):
-        """Learn what is new of a kind: by a watch, or by reading everything."""
+    def _read_next(self, kind):
+        """Get the next changes of a kind, by a watch or by reading everything."""
         version = self.versions.get(kind)
         if version is None or kind in self._to_reread:
-            return self._reread(kind)
-        is_calm = self._trouble_ms_ago() is None
-        wait_ms = WATCH_MS if is_calm else TROUBLED_WATCH_MS
+            return self._read_snapshot(kind)
+        is_healthy = self._failure_age_ms() is None
+        wait_ms = WATCH_MS if is_healthy else WATCH_MS_AFTER_FAILURE
         task = gevent.spawn(self.store.watch, kind, version, wait_ms)
-        self._reading[kind] = task
+        self._watch_tasks[kind] = task
         result = task.get()
-        self._reading.pop(kind)
+        self._watch_tasks.pop(kind)
         if isinstance(result, gevent.GreenletExit):
-            # A peer knows something else, or the leader is followed from here on.
+            # A peer's state differs, or this daemon follows the leader from now on.
             self._to_reread.add(kind)
             return True
         if is_successful(result):
             self._change(kind, *result.unwrap())
             return True
         error = result.failure()
-        # Not from where the watch was: a store in trouble may have heard of changes
-        # that it tells no watch about.
+        # A new watch from the same version is not enough: a failing store may have
+        # recorded changes that it reports to no watch.
         self._to_reread.add(kind)
         if isinstance(error, HistoryGoneError):
             log_event("history-gone", kind=kind, version=version)
             return True
-        self._note_failure(kind, error)
+        self._record_failure(kind, error)
         return False
 
-    def _reread(self, kind):
+    def _read_snapshot(self, kind):
         result = self.store.snapshot(kind)
         if not is_successful(result):
             self._to_reread.add(kind)
-            self._note_failure(kind, result.failure())
+            self._record_failure(kind, result.failure())
             return False
         self._to_reread.discard(kind)
-        self._note_success(kind)
+        self._record_success(kind)
         self._replace(kind, *result.unwrap(), via="snapshot")
         return True
 
     def catch_up(self, address, versions):
-        """Begin to ask a peer for what it has read of the store beyond this daemon.
+        """Start to fetch what a peer has read of the store beyond this daemon.
 
         Parameters
         ----------
@@ -343,61 +363,68 @@
         """
         for kind in FOLLOWED_KINDS:
             is_behind = versions.get(kind, 0) > self.versions.get(kind, 0)
-            if is_behind and kind not in self._asking:
-                self._asking.add(kind)
-                gevent.spawn(self._catch_up, kind, address)
+            if is_behind and kind not in self._kinds_catching_up:
+                self._kinds_catching_up.add(kind)
+                gevent.spawn(self._catch_up_kind, kind, address)
 
-    def _catch_up(self, kind, address):
+    def _catch_up_kind(self, kind, address):
         try:
-            self._ask_peer(kind, address)
+            self._fetch_from_peer(kind, address)
         finally:
-            self._asking.discard(kind)
+            self._kinds_catching_up.discard(kind)
+
+    def _fetch_from_peer(self, kind, address=""):
+        """Fetch updates from the peer at an address, or from any peer if it is empty.
 
-    def _ask_peer(self, kind, address=""):
-        """Ask another daemon, which the store may still serve; any if none is named."""
-        news = self.peers.news(kind, self.changed.get(kind, 0), address)
-        if not news:
+        The store may still respond to the peer.
+        """
+        updates = self.peers.news(kind, self.changed.get(kind, 0), address)
+        if not updates:
             return
         try:
-            log_event("news-from-peer", kind=kind, version=news[kind]["version"])
-            self.take_news(news)
+            log_event("news-from-peer", kind=kind, version=updates[kind]["version"])
+            self.take_news(updates)
         except (KeyError, TypeError, ValueError) as error:
             log_event("news-not-understood", peer=address, reason=repr(error))
 
-    def note_trouble(self):
-        """Take in that a call to the store failed: answers to watches may be lost."""
+    def record_store_failure(self):
+        """Record that a call to the store failed.
+
+        Responses to watches may have been lost, too, so the watches are started again.
+        """
         now_ms = self.clock.now_ms()
-        is_new = now_ms >= self._trouble_ms + TROUBLED_WATCH_MS
-        self._trouble_ms = now_ms
-        if is_new:
-            for task in list(self._reading.values()):
+        is_first_failure = now_ms >= self._last_failure_ms + WATCH_MS_AFTER_FAILURE
+        self._last_failure_ms = now_ms
+        if is_first_failure:
+            for task in list(self._watch_tasks.values()):
                 task.kill(block=False)
 
-    def _note_success(self, kind):
+    def _record_success(self, kind):
         since_ms = self.failing_since_ms.pop(kind, None)
         if since_ms is not None:
             now_ms = self.clock.now_ms()
-            self._trouble_ms = now_ms
+            self._last_failure_ms = now_ms
             log_event("store-regained", kind=kind, after_ms=round(now_ms - since_ms))
 
-    def _note_failure(self, kind, error):
+    def _record_failure(self, kind, error):
         now_ms = self.clock.now_ms()
-        self._trouble_ms = now_ms
+        self._last_failure_ms = now_ms
         if kind not in self.failing_since_ms:
             self.failing_since_ms[kind] = now_ms
             self.view.wake()
             log_event("store-lost", level=logbook.WARNING, kind=kind, reason=str(error))
 
-    def _trouble_ms_ago(self):
-        """Return how long ago the store was in trouble; None if that is long past."""
-        ms_ago = self.clock.now_ms() - self._trouble_ms
-        return ms_ago if ms_ago < TROUBLE_MS else None
+    def _failure_age_ms(self):
+        """Return how long ago the store last failed; None if that is long past."""
+        age_ms = self.clock.now_ms() - self._last_failure_ms
+        return age_ms if age_ms < FAILURE_AFTERMATH_MS else None
 
     def _replace(self, kind, version, items, via, missing_ms=None):
-        """Take in a whole list, unless it is older than what is known.
+        """Replace all objects of a kind, unless the list is older than those known.
 
-        Of a server that is gone, a peer tells for how long it has been missing: counted
-        from when this daemon hears of it, each relay would prolong its use.
+        For a removed server, a peer reports how long it has been missing. If the time
+        were counted from when this daemon hears of it, each daemon that passes it on
+        would prolong the use of the server.
         """
         if version < self.versions.get(kind, 0):
             return
@@ -410,19 +437,20 @@
         gone = set(before) - set(self.objects[kind])
         self._removals_of(kind).note(version, gone)
         if kind == SERVER:
-            self._lose(gone, missing_ms or {})
+            self._remove_servers(gone, missing_ms or {})
         for item in items:
             if before.get(item.name) != item:
-                self._take(item, via)
+                self._apply(item, via)
         if kind == TAKEN_OUT:
-            self._take_domains()
+            self._apply_domains()
         if kind == SERVER:
             self.view.servers_read = True
         self.view.wake()
 
     def _change(self, kind, version, items):
         if kind not in self.versions:
-            # Given up while the watch waited: changes alone are no whole.
+            # The state was discarded during the watch, and changes alone are not
+            # enough.
             self._to_reread.add(kind)
             return
         if version < self.versions[kind]:
@@ -436,39 +464,40 @@
             else:
                 gone.discard(item.name)
                 known[item.name] = item
-                self._take(item, via="watch")
-        # Also those that a list in several pages did not have: others may know them.
+                self._apply(item, via="watch")
+        # Removals of objects missing in a paged list are recorded as well: other
+        # daemons may know the objects.
         removed = [item.name for item in items if item.spec is None]
         self._removals_of(kind).note(version, removed)
         if kind == SERVER:
-            self._lose(gone, {})
+            self._remove_servers(gone, {})
         if kind == TAKEN_OUT:
-            self._take_domains()
+            self._apply_domains()
         if items:
             self.changed[kind] = version
             self.view.wake()
 
-    def _lose(self, names, missing_ms):
-        was_in_trouble = self._trouble_ms_ago() is not None
-        may_return = was_in_trouble or len(names) >= MASS_LOSS
+    def _remove_servers(self, names, missing_ms):
+        has_failed_lately = self._failure_age_ms() is not None
+        may_return = has_failed_lately or len(names) >= MASS_LOSS_COUNT
         for name in names:
             if name in self.view.directory.servers:
                 log_event("server-gone", server=name, may_return=may_return)
             missing_for_ms = missing_ms.get(name, 0.0)
             self.view.directory.lose(name, may_return, missing_for_ms)
 
-    def _take(self, item, via):
+    def _apply(self, item, via):
         if item.kind == MANIFEST and item.name == MANIFEST_NAME:
-            self._take_manifest(item, via)
+            self._apply_manifest(item, via)
         elif item.kind == SERVER:
-            self._take_server(item, via)
+            self._apply_server(item, via)
         elif item.kind == RANGES:
-            self._take_ranges(item)
+            self._apply_ranges(item)
 
-    def _take_manifest(self, item, via):
+    def _apply_manifest(self, item, via):
         result = self.ports.read_manifest(item.spec)
         if not is_successful(result):
-            self._log_unread(item, result.failure())
+            self._log_unreadable(item, result.failure())
             return
         manifest = result.unwrap()
         if self.view.take_routes(RouteTable(manifest)):
@@ -480,10 +509,10 @@
                 via=via,
             )
 
-    def _take_server(self, item, via):
+    def _apply_server(self, item, via):
         result = self.ports.read_server(item)
         if not is_successful(result):
-            self._log_unread(item, result.failure())
+            self._log_unreadable(item, result.failure())
             return
         server, directory = result.unwrap(), self.view.directory
         before = directory.servers.get(server.name)
@@ -517,13 +546,13 @@
                 via=via,
             )
 
-    def _take_ranges(self, item):
+    def _apply_ranges(self, item):
         try:
             self.history.note(self.view.take_stored_table(item), item.version)
         except ValueError as error:
-            self._log_unread(item, error)
+            self._log_unreadable(item, error)
 
-    def _take_domains(self):
+    def _apply_domains(self):
         domains = set(self.objects.get(TAKEN_OUT, {}))
         before = self.view.directory.taken_out
         if domains == before:
@@ -533,11 +562,11 @@
         )
         log_event("domains-taken-out", domains=",".join(sorted(domains)) or "none")
 
-    def _log_unread(self, item, error):
-        """Say once for each version that an object can't be understood."""
-        if (item.kind, item.name, item.version) in self._unread:
+    def _log_unreadable(self, item, error):
+        """Log once for each version that an object cannot be decoded."""
+        if (item.kind, item.name, item.version) in self._logged_unreadable:
             return
-        self._unread.add((item.kind, item.name, item.version))
+        self._logged_unreadable.add((item.kind, item.name, item.version))
         log_event(
             "entry-not-understood",
             level=logbook.WARNING,
--- a/src/tarragonramp/roles/granter.py
+++ b/src/tarragonramp/roles/granter.py
@@ -1,8 +1,9 @@
-"""Gives keys to servers, renews what they hold, and moves keys between them.
+"""Assigns key ranges to backend servers, renews their grants and moves ranges.
 
-Only the leader does. Three things have to be true before another server gets a key:
-its token is above all earlier ones, the store says so, and the earlier owner has let
-go. It has if it answered a release, if its life has ended, or if time has proved it.
+Only the leader does this. Before a range is granted to another server, three conditions
+have to hold: its token is above all earlier tokens, the store records it as free, and
+the earlier owner has released it. A range counts as released if the owner has confirmed
+a release, if the owner's process has ended, or if all of its grants have expired.
 """
 
 import functools
@@ -25,36 +26,41 @@
 from ..hotspots import busy_servers, spread_heat
 from .grants import GrantKeeper
 from .mover import Mover
-from .relay import LEAST_RANGES, has_no_connection
+from .relay import MIN_RANGES, has_no_connection
 from .tasks import keep_running
 
 __all__ = ["Granter"]
 
-PLAN_MS = 250.0
-"""Between two looks at who should own what. Short, since keys of a server that leaves
-are refused until they have moved."""
+PLAN_INTERVAL_MS = 250.0
+"""Interval between two planning rounds. It is short, since requests for the keys of a
+leaving server are refused until the keys have moved."""
 
-FIRST_DEAL_MS = 2500.0
-"""How long no further server has to come before keys are dealt for the first time.
-Servers register within some seconds of each other; whoever is late has to be given
-keys by moves, which cost more than the wait."""
+INITIAL_ASSIGNMENT_DELAY_MS = 2500.0
+"""How long the set of servers has to be stable before keys are assigned for the first
+time.
 
-SPREAD_MS = 400.0
-"""Between two looks at which keys are busy; they become so within seconds."""
+Servers register within some seconds of each other. A server that registers later gets
+its keys by moves, which cost more than the wait."""
 
+REBALANCE_INTERVAL_MS = 400.0
+"""Interval between two searches for busy keys, which become busy within seconds."""
 
-RETRY_MS, LAST_RETRY_MS = 250.0, 1000.0
-"""Between two tries at a server that does not answer."""
 
+RETRY_MS, MAX_RETRY_MS = 250.0, 1000.0
+"""Minimum and maximum delay between two attempts to reach a server that does not
+respond."""
 
-GATHER_MS = 20.0
-"""How long ended moves are gathered before they are written: a write is seen by every
-daemon, and ranges of one server end their moves within milliseconds of each other."""
+
+BATCH_MS = 20.0
+"""How long completed moves are collected before the table is written.
+
+Every daemon reads each write, and the moves of one server's ranges end within
+milliseconds of each other."""
 
 
 @attrs.define(eq=False, repr=False)
 class Granter:
-    """The leader's work on servers that own keys.
+    """Manages the servers that own keys, on the leader.
 
     Parameters
     ----------
@@ -62,9 +68,11 @@
     leadership : Leadership
     store : Platform
     grants : Grants
-        ``grant`` and ``release``.
+        Provides ``grant`` and ``release``.
     clock : Clock
-    relays : Relays
+    relays : RelayPool
+    n_moves : int
+        Ranges that this daemon has begun to move.
     """
 
     view: object
@@ -76,35 +84,35 @@
     keeper: GrantKeeper = attrs.field(init=False)
     mover: Mover = attrs.field(init=False)
     n_moves: int = 0
-    _renewing: dict = attrs.Factory(dict)
-    _waiting: dict = attrs.Factory(dict)
-    _to_raise: set = attrs.Factory(set)
-    _spread_ms: dict = attrs.Factory(dict)
-    _read: set = attrs.Factory(set)
+    _renewal_tasks: dict = attrs.Factory(dict)
+    _candidates_seen: dict = attrs.Factory(dict)
+    _raise_requests: set = attrs.Factory(set)
+    _last_rebalance_ms: dict = attrs.Factory(dict)
+    _tables_read: set = attrs.Factory(set)
     _work: Event = attrs.Factory(Event)
     _rng: random.Random = attrs.Factory(random.Random)
 
     def __attrs_post_init__(self):
-        """Join what keeps grants and what moves keys."""
+        """Create the parts that track grants and carry out moves."""
         self.keeper = GrantKeeper(self.view, self.leadership, self.grants, self.clock)
         self.mover = Mover(self.view, self.keeper, self.clock, self._work.set)
 
     def run(self):
-        """Plan and start moves and renewals, for ever."""
+        """Plan and start moves and renewals, forever."""
         while True:
             if self.leadership.leads:
                 if self.keeper.begin_term():
                     self.mover.begin_term()
-                    self._waiting.clear()
-                    self._to_raise.clear()
-                    self._read.clear()
-                asked = set(self._to_raise)
+                    self._candidates_seen.clear()
+                    self._raise_requests.clear()
+                    self._tables_read.clear()
+                asked = set(self._raise_requests)
                 for service in self._services():
                     if self._is_read(service):
                         self._advance(service)
-                self._to_raise -= asked
-            if self._work.wait(PLAN_MS / 1000.0):
-                gevent.sleep(GATHER_MS / 1000.0)
+                self._raise_requests -= asked
+            if self._work.wait(PLAN_INTERVAL_MS / 1000.0):
+                gevent.sleep(BATCH_MS / 1000.0)
             self._work.clear()
 
     def _services(self):
@@ -114,64 +122,64 @@
         return [name for name, s in manifest.services.items() if s.divided]
 
     def _is_read(self, service):
-        """Tell whether the table was read since this daemon leads; read it if not.
+        """Return whether the table has been read in this term; read it if it has not.
 
-        What is known from before may be older than the last moves of the leader before:
-        their old owners would be renewed, or fenced once more, beside the new ones.
+        A table known from before may lack the previous leader's last moves. Acting on
+        it would renew or fence the old owners of moved ranges beside the new ones.
         """
-        if service in self._read:
+        if service in self._tables_read:
             return True
         found = self.store.get(RANGES, service)
         if is_successful(found):
-            self._take_stored(found.unwrap())
+            self._apply_stored_table(found.unwrap())
         elif not isinstance(found.failure(), NotFoundError):
             return False
-        self._read.add(service)
+        self._tables_read.add(service)
         return True
 
     def _advance(self, service):
         table = self.view.tables.get(service)
         if self.leadership.may_move:
-            table = self._write_due(service, table)
+            table = self._plan_and_write(service, table)
         if table is None:
             return
-        self._give_freed(service, table)
+        self._grant_free_ranges(service, table)
         for identity in sorted({(item.owner, item.life) for item in table.ranges}):
             key = service, identity
-            if key not in self._renewing:
-                self._renewing[key] = keep_running(
-                    lambda key=key: self._renew_all(*key)
+            if key not in self._renewal_tasks:
+                self._renewal_tasks[key] = keep_running(
+                    lambda key=key: self._renew_until_done(*key)
                 )
         if self.leadership.may_move:
             for item in table.ranges:
                 if item.is_moving:
-                    self.mover.take_back(service, item)
+                    self.mover.start_release(service, item)
 
-    def _write_due(self, service, table):
-        """Write which ranges are free and which should move; return the table.
+    def _plan_and_write(self, service, table):
+        """Write which ranges are free and which are to move; return the table.
 
-        A range is granted to its new owner only once the store says that it is free.
+        A range is granted to its new owner only once the store records it as free.
         """
         candidates = self._candidates(service)
         if table is None:
-            return self._deal(service, candidates)
+            return self._assign_initially(service, candidates)
         freed = [
             item.settled()
             for item in table.ranges
             if item.is_moving and self.mover.is_released(service, item)
         ]
         newer = table.with_ranges(freed)
-        n_moving = sum(self._is_asked(item) for item in newer.ranges)
+        n_moving = sum(self._can_be_released(item) for item in newer.ranges)
         changed = plan_moves(
             newer,
             candidates,
-            lambda item: self._stays(service, item),
+            lambda item: self._keeps_owner(service, item),
             n_moving,
             lambda: busy_servers(newer, candidates, self.leadership.heat_of(service)),
         )
         if not changed and not n_moving:
-            changed = self._spread(service, newer, candidates)
-        raised = self._asked_to_raise(service, newer.with_ranges(changed))
+            changed = self._rebalance(service, newer, candidates)
+        raised = self._due_token_raises(service, newer.with_ranges(changed))
         if not freed and not changed and not raised:
             return table
         moved = [item for item in changed if item.is_moving]
@@ -183,62 +191,65 @@
                 cut=len(changed) - len(moved),
                 moving=n_moving,
                 candidates=len(candidates),
-                owners_before=_names(item.old_owner for item in moved),
-                owners=_names(item.owner for item in moved),
+                owners_before=_joined(item.old_owner for item in moved),
+                owners=_joined(item.owner for item in moved),
             )
             self.n_moves += len(moved)
         addresses = {candidate.name: candidate.address for candidate in candidates}
-        # Before anybody, this leader's next look included, can read the cuts.
-        self._note_cuts(service, newer, changed)
+        # Recorded before anything, including this leader's next round, can read the
+        # split ranges.
+        self._record_splits(service, newer, changed)
         newer = newer.with_ranges(changed, addresses)
-        raised = self._raise(service, raised)
+        raised = self._with_raised_tokens(service, raised)
         written = self._write(service, newer.with_ranges(raised), [*moved, *raised])
         return written or self.view.tables.get(service, table)
 
-    def _give_freed(self, service, table):
-        """Grant the ranges of which the store says that they are free.
+    def _grant_free_ranges(self, service, table):
+        """Grant the ranges that the store records as free to their new owners.
 
-        As the table shows them: a write that freed some may have had no answer.
+        The table is used rather than the result of the write: a write that freed ranges
+        may have taken effect although its response was lost.
         """
         for item in table.ranges:
             if not item.is_moving:
-                self.mover.give(service, item)
+                self.mover.grant_to_new_owner(service, item)
 
-    def _note_cuts(self, service, table, changed):
-        """Note that what was granted of a range holds for each piece of it."""
+    def _record_splits(self, service, table, changed):
+        """Record that the grants of a split range hold for each of its pieces."""
         for item in changed:
             whole = table.find(item.first)
             if whole.first != item.first:
                 token = item.old_token if item.is_moving else item.token
-                self.keeper.share(service, whole.first, item.first, token)
+                self.keeper.copy_to_piece(service, whole.first, item.first, token)
 
-    def _asked_to_raise(self, service, table):
+    def _due_token_raises(self, service, table):
         """Return the ranges whose tokens are to be raised now."""
         return [
             item
-            for asked, item in self._to_raise
+            for asked, item in self._raise_requests
             if asked == service
             and table.find(item.first) == item
-            and self._is_to_raise(service, item)
+            and self._needs_token_raise(service, item)
         ]
 
-    def _raise(self, service, items):
-        """Return ranges under higher tokens, and note that they are to be written."""
+    def _with_raised_tokens(self, service, items):
+        """Return ranges with raised tokens, after preparing their grant records."""
         for item in items:
-            self.keeper.note_raised(service, item)
+            self.keeper.copy_to_raised_token(service, item)
         if items:
             log_event(
                 "tokens-raised",
                 service=service,
                 ranges=len(items),
-                owners=_names(item.owner for item in items),
+                owners=_joined(item.owner for item in items),
             )
         return [item.raised() for item in items]
 
-    def _is_to_raise(self, service, item):
-        """Tell whether a token has to be raised before a connection is opened for it.
+    def _needs_token_raise(self, service, item):
+        """Return whether a token has to be raised before a connection is opened for it.
 
-        The other end may be another life of the server, which no entry has told yet.
+        The other end may be another process instance of the server, whose entry is not
+        known yet.
         """
         return (
             self.keeper.is_current(service, item)
@@ -246,24 +257,25 @@
             and not self.mover.is_released(service, item)
         )
 
-    def _is_asked(self, item):
-        """Tell whether a range is on its way from a server that can be asked for it.
+    def _can_be_released(self, item):
+        """Return whether a moving range has an old owner that can be asked for it.
 
-        Of one that is gone only time proves the end. Such ranges keep nobody busy: they
-        once took all the room for moves for 40 s, in which servers that were leaving
-        kept their keys and refused them.
+        If the old owner is gone, only the expiry of its grants ends the hold. Such
+        ranges do not count towards the limit of concurrent moves: they once used up the
+        limit for 40 s, and servers that were leaving meanwhile kept their keys and
+        refused requests for them.
         """
         if not item.is_moving:
             return False
         server = self.view.directory.servers.get(item.old_owner)
         return server is not None and server.life == item.old_life
 
-    def _spread(self, service, table, candidates):
-        """Return busy ranges that should move, now and then."""
+    def _rebalance(self, service, table, candidates):
+        """Return busy ranges to move, at most once per rebalance interval."""
         now_ms = self.clock.now_ms()
-        if now_ms < self._spread_ms.get(service, 0.0) + SPREAD_MS:
+        if now_ms < self._last_rebalance_ms.get(service, 0.0) + REBALANCE_INTERVAL_MS:
             return []
-        self._spread_ms[service] = now_ms
+        self._last_rebalance_ms[service] = now_ms
         return spread_heat(table, candidates, self.leadership.heat_of(service))
 
     def _candidates(self, service):
@@ -284,11 +296,11 @@
             for server in reached or warm or usable
         ]
 
-    def _stays(self, service, item):
-        """Tell whether a range should stay with its owner, be it cold or out of reach.
+    def _keeps_owner(self, service, item):
+        """Return whether a range stays with its owner, even a cold or unreachable one.
 
-        An owner that is listed but can't be reached may still serve those that reach
-        it, until its grant has ended; moving its keys before would gain nobody.
+        An owner that is listed but unreachable for this daemon may still serve daemons
+        that reach it until its grant expires. Moving its keys earlier gains nothing.
         """
         server = self.view.directory.servers.get(item.owner)
         if server is None or server.life != item.life:
@@ -299,27 +311,27 @@
             return True
         return not self.keeper.time_proves(service, item.first, item.token)
 
-    def _deal(self, service, candidates):
+    def _assign_initially(self, service, candidates):
         now_ms = self.clock.now_ms()
-        n_before, since_ms = self._waiting.get(service, (0, now_ms))
+        n_before, since_ms = self._candidates_seen.get(service, (0, now_ms))
         if len(candidates) != n_before:
             since_ms = now_ms
-        self._waiting[service] = len(candidates), since_ms
-        if not candidates or now_ms < since_ms + FIRST_DEAL_MS:
+        self._candidates_seen[service] = len(candidates), since_ms
+        if not candidates or now_ms < since_ms + INITIAL_ASSIGNMENT_DELAY_MS:
             return None
         log_event("keys-dealt", service=service, servers=len(candidates))
-        dealt = first_deal(service, candidates)
-        return self._write(service, dealt, dealt.ranges)
+        assigned = first_deal(service, candidates)
+        return self._write(service, assigned, assigned.ranges)
 
     def _write(self, service, table, renewed=()):
-        """Write a table under the version it was made from; None if that failed.
+        """Write a table on condition of its version; return it, or None if that failed.
 
         Parameters
         ----------
         service : str
         table : RangeTable
         renewed : iterable of KeyRange
-            Those of its ranges that have got new tokens.
+            Ranges of the table that have new tokens.
         """
         version = self.view.table_version(service)
         result = self.store.put(RANGES, service, table.to_spec(), version)
@@ -335,93 +347,100 @@
             found = self.store.get(RANGES, service)
             current = found.unwrap() if is_successful(found) else None
         if current is not None:
-            self._take_stored(current)
+            self._apply_stored_table(current)
         return None
 
-    def _take_stored(self, stored):
+    def _apply_stored_table(self, stored):
         try:
             self.view.take_exact_table(stored)
         except ValueError as error:
             log_event("entry-not-understood", kind=RANGES, reason=str(error))
 
-    def _renew_all(self, service, identity):
-        """Renew all that one server holds, until it holds nothing or others lead."""
+    def _renew_until_done(self, service, identity):
+        """Renew the ranges of one server until it has none or another daemon leads."""
         key = service, identity
-        contact, retry_ms = self.keeper.contact(identity), RETRY_MS
+        connection_state, retry_ms = self.keeper.connection_state(identity), RETRY_MS
         while self.leadership.leads:
             began_ms = self.clock.now_ms()
-            owned = self._owned(service, identity)
+            owned = self._ranges_of(service, identity)
             if not owned:
                 break
-            # Kept until tokens are raised: a closed connection shows only once.
-            contact.has_broken |= self.keeper.has_lost(service, identity[0])
-            if contact.has_broken and not self._raise_tokens(service, owned):
+            # The flag is kept until tokens are raised: a closed connection is reported
+            # only once.
+            connection_state.is_broken |= self.keeper.has_lost(service, identity[0])
+            if connection_state.is_broken and not self._raise_tokens(service, owned):
                 break
-            contact.has_broken = False
-            all_said = self._renew_server(
-                service, identity, self._owned(service, identity), contact
+            connection_state.is_broken = False
+            all_responded = self._renew_server(
+                service, identity, self._ranges_of(service, identity), connection_state
             )
-            if contact.unconnected and self.leadership.may_move:
-                all_said = self._renew_raised(service, identity, contact)
+            if connection_state.unconnected and self.leadership.may_move:
+                all_responded = self._renew_unconnected(
+                    service, identity, connection_state
+                )
             took_ms = self.clock.now_ms() - began_ms
             pause_ms = self.leadership.timing.regrant_ms * (
                 0.9 + 0.1 * self._rng.random()
             )
-            if contact.failing_since_ms is not None:
-                retry_ms = min(LAST_RETRY_MS, retry_ms * 2)
+            if connection_state.failing_since_ms is not None:
+                retry_ms = min(MAX_RETRY_MS, retry_ms * 2)
                 pause_ms = retry_ms
-            elif contact.has_broken or not all_said:
+            elif connection_state.is_broken or not all_responded:
                 pause_ms = RETRY_MS
             else:
                 retry_ms = RETRY_MS
             gevent.sleep(max(RETRY_MS, pause_ms - took_ms) / 1000.0)
-        gevent.sleep(LAST_RETRY_MS / 1000.0)
-        self._renewing.pop(key, None)
+        gevent.sleep(MAX_RETRY_MS / 1000.0)
+        self._renewal_tasks.pop(key, None)
 
-    def _renew_raised(self, service, identity, contact):
-        """Renew what no connection was open for, under higher tokens.
+    def _renew_unconnected(self, service, identity, connection_state):
+        """Renew ranges that had no open connection, under raised tokens.
 
         Returns
         -------
-        all_said : bool
+        all_responded : bool
         """
         log_event(
-            "server-unconnected", server=identity[0], ranges=len(contact.unconnected)
+            "server-unconnected",
+            server=identity[0],
+            ranges=len(connection_state.unconnected),
         )
-        if not self._raise_tokens(service, contact.unconnected):
+        if not self._raise_tokens(service, connection_state.unconnected):
             return False
         raised = [
             item
-            for item in self._owned(service, identity)
+            for item in self._ranges_of(service, identity)
             if self.keeper.is_unsent(service, item)
         ]
-        return self._renew_server(service, identity, raised, contact)
+        return self._renew_server(service, identity, raised, connection_state)
 
     def _raise_tokens(self, service, items):
-        """Have tokens of a server raised, so that connections to it may be opened.
+        """Request raised tokens for a server, so that connections to it may be opened.
 
-        It may have started again under its name, and would take a token that its
-        earlier life has had. If the store can't be written the server is granted
-        nothing that needs a connection until it can: keys that nobody serves for the
-        rest of an outage cost less than two servers that do.
+        The server may have restarted under its name, and would accept a token that its
+        earlier process instance was given. While the store cannot be written, the
+        server gets no grant that needs a new connection: keys without an owner for the
+        rest of an outage are a smaller harm than keys with two owners.
 
         Returns
         -------
         is_done : bool
         """
         while self.leadership.may_move:
-            left = {(service, i) for i in items if self._is_to_raise(service, i)}
-            if not left:
+            pending = {
+                (service, i) for i in items if self._needs_token_raise(service, i)
+            }
+            if not pending:
                 return True
-            self._to_raise |= left
+            self._raise_requests |= pending
             self._work.set()
-            while left & self._to_raise and self.leadership.may_move:
-                gevent.sleep(GATHER_MS / 1000.0)
-            if any(self._is_to_raise(service, item) for item in items):
+            while pending & self._raise_requests and self.leadership.may_move:
+                gevent.sleep(BATCH_MS / 1000.0)
+            if any(self._needs_token_raise(service, item) for item in items):
                 gevent.sleep(RETRY_MS / 1000.0)
         return False
 
-    def _owned(self, service, identity):
+    def _ranges_of(self, service, identity):
         table = self.view.tables.get(service)
         if table is None:
             return []
@@ -431,76 +450,82 @@
             if (item.owner, item.life) == identity and not item.is_moving
         ]
 
-    def _renew_server(self, service, identity, items, contact):
-        """Renew ranges of one owner, through a daemon of its failure domain if any.
+    def _renew_server(self, service, identity, items, connection_state):
+        """Renew ranges of one owner, through a relay in its failure domain if any.
 
-        What a relay could not do shows in ``contact``: tokens are raised, and the
-        leader tries by itself. That no connection is open says nothing of the server:
-        while the store can't be written, another relay may have one.
+        Failures of a relay are recorded in ``connection_state``: tokens are raised, and
+        the leader retries by itself. A missing connection is no failure of the server:
+        while the store cannot be written, another relay may have one.
 
         Parameters
         ----------
         service : str
         identity : (str, int)
         items : list of KeyRange
-        contact : _Contact
+        connection_state : _ConnectionState
 
         Returns
         -------
-        all_said : bool
-            Whether the owner said something of each range that was due.
+        all_responded : bool
+            Whether the owner responded for each range that was due.
         """
-        contact.unconnected = []
+        connection_state.unconnected = []
         owner = identity[0]
         due = [item for item in items if self._is_due(service, item)]
-        is_worth_it = len(self._owned(service, identity)) >= LEAST_RANGES
-        relay = self.relays.pick(owner) if due and is_worth_it else ""
+        is_relay_worthwhile = len(self._ranges_of(service, identity)) >= MIN_RANGES
+        relay = self.relays.pick(owner) if due and is_relay_worthwhile else ""
         if not relay:
-            return self._renew_directly(service, due, contact)
+            return self._renew_directly(service, due, connection_state)
         send = functools.partial(self.relays.send, relay)
-        results = self.keeper.renew_through(send, service, owner, due)
-        unsaid = [
+        results = self.keeper.renew_via_relay(send, service, owner, due)
+        unconfirmed = [
             (item, result)
             for item, result in zip(due, results, strict=True)
-            if not self._note_renewed(service, item, result, contact)
+            if not self._handle_renewal(service, item, result, connection_state)
         ]
-        contact.unconnected = [item for item, r in unsaid if has_no_connection(r)]
-        if len(contact.unconnected) < len(unsaid):
-            contact.has_broken = True
-        elif unsaid and not self.leadership.may_move:
-            if len(unsaid) < len(due):
-                # Given by the leader itself, which has a connection for them.
-                return self._renew_directly(service, contact.unconnected, contact)
+        connection_state.unconnected = [
+            item for item, r in unconfirmed if has_no_connection(r)
+        ]
+        if len(connection_state.unconnected) < len(unconfirmed):
+            connection_state.is_broken = True
+        elif unconfirmed and not self.leadership.may_move:
+            if len(unconfirmed) < len(due):
+                # These tokens were first sent by the leader, which has a connection for
+                # them.
+                return self._renew_directly(
+                    service, connection_state.unconnected, connection_state
+                )
             log_event("server-not-renewed", server=owner, relay=relay)
-            self.relays.pass_over(relay, owner)
-        return not unsaid
+            self.relays.exclude(relay, owner)
+        return not unconfirmed
 
-    def _renew_directly(self, service, due, contact):
-        """Renew ranges of one owner; False unless it said something of each."""
-        contact.unconnected = []
+    def _renew_directly(self, service, due, connection_state):
+        """Renew ranges of one owner; return whether it responded for each of them."""
+        connection_state.unconnected = []
         for item in due:
-            self._renew(service, item, contact)
-            if contact.has_broken:
+            self._renew(service, item, connection_state)
+            if connection_state.is_broken:
                 return False
-        return not contact.unconnected
+        return not connection_state.unconnected
 
     def _is_due(self, service, item):
-        """Tell whether a range is to be renewed now."""
+        """Return whether a range is to be renewed now."""
         if not self.keeper.is_current(service, item):
             return False
         if self.mover.is_released(service, item):
             return False
         return (service, item.first, item.token) not in self.keeper.refused
 
-    def _note_renewed(self, service, item, result, contact):
-        """Take in what the owner said; False if it said nothing."""
+    def _handle_renewal(self, service, item, result, connection_state):
+        """Process the result of a renewal; return whether the owner responded."""
         if is_successful(result):
-            self.keeper.note_reached(item.owner, contact)
+            self.keeper.mark_reachable(item.owner, connection_state)
             return True
         if not isinstance(result.failure(), OvertakenGrantError):
             return False
         if not self.keeper.is_current(service, item):
-            # Cut or moved meanwhile: the higher token was another piece's.
+            # The range was split or moved meanwhile: the higher token belongs to
+            # another piece.
             return True
         self.keeper.refused.add((service, item.first, item.token))
         log_event(
@@ -513,24 +538,24 @@
         )
         return True
 
-    def _renew(self, service, item, contact):
-        """Renew one range; what came of it shows in ``contact``."""
+    def _renew(self, service, item, connection_state):
+        """Renew one range and record the outcome in ``connection_state``."""
         if not self._is_due(service, item):
             return
         result = self.keeper.grant(service, item, item.owner, item.token)
-        if self._note_renewed(service, item, result, contact):
+        if self._handle_renewal(service, item, result, connection_state):
             return
         if has_no_connection(result):
             if not self.leadership.may_move:
                 log_event("server-not-renewed", server=item.owner, relay="")
-            contact.unconnected.append(item)
+            connection_state.unconnected.append(item)
             return
         error = result.failure()
-        if contact.failing_since_ms is None:
-            contact.failing_since_ms = self.clock.now_ms()
+        if connection_state.failing_since_ms is None:
+            connection_state.failing_since_ms = self.clock.now_ms()
             log_event("server-lost", server=item.owner, reason=str(error))
-        contact.has_broken = True
+        connection_state.is_broken = True
 
 
-def _names(names):
+def _joined(names):
     return ",".join(sorted(set(names)))
--- a/src/tarragonramp/roles/grants.py
+++ b/src/tarragonramp/roles/grants.py
@@ -1,7 +1,8 @@
-"""What servers were granted, and how it is known that they have let go.
+"""Sends grants and releases, and tracks how long each grant may be held.
 
-Late, lost and doubled messages are all settled here: each grant is noted before anybody
-relies on its end, and an owner that may still get an old one is fenced first.
+Messages may be late, lost or duplicated. Each grant is therefore recorded before its
+expiry is relied on, and an owner that may still receive an old grant is fenced before
+it is released.
 """
 
 import collections
@@ -23,63 +24,91 @@
 
 __all__ = ["GrantKeeper"]
 
-ANSWER_MS = 1000.0
-"""Timeout of a grant. A server answers in a millisecond."""
+GRANT_TIMEOUT_MS = 1000.0
+"""Timeout of a grant. A server normally responds within a millisecond."""
 
-RELEASE_MS = 8000.0
-"""Timeout of a release, which is answered once running work has ended."""
+RELEASE_TIMEOUT_MS = 8000.0
+"""Timeout of a release. A server responds once its running requests have ended."""
 
 FENCE_HOLD_MS = 300.0
-"""What a fencing grant is given for: it only has to be seen."""
+"""Hold time of a fencing grant. The server only has to see the token."""
 
-CALLS_PER_SERVER = 6
-"""Releases under way at one server at a time. Load: all its ranges leave at once. Harm
-prevented: a connection each, beyond what the server takes, so that it resets renewals
-and callers. More than its slots, so that idle ranges do not wait for running work."""
+MAX_RELEASES_PER_SERVER = 6
+"""Maximum number of concurrent releases at one server.
 
-UNREACHABLE_MS = 1500.0
-"""Grants of a server that go unanswered for so long count it as unreachable."""
+When all ranges leave a server at once, a connection for each release would exceed the
+connections that the server accepts, and it would reset renewals and callers' requests.
+The limit is above the server's number of slots, so that idle ranges are not delayed by
+ranges with running requests."""
 
-UNGRANTED = (NotSentError, OvertakenGrantError, WrongServerError)
+UNREACHABLE_AFTER_MS = 1500.0
+"""A server whose grants have had no response for this long counts as unreachable."""
+
+NOT_GRANTED_ERRORS = (NotSentError, OvertakenGrantError, WrongServerError)
 NO_ADDRESS = Failure(NotSentError("address not known"))
-NO_FENCE_LEFT = Failure(UnansweredError("no fencing token left; time has to prove it"))
+NO_FENCING_TOKEN = Failure(
+    UnansweredError("no fencing token left; time has to prove it")
+)
 NO_LONGER_LEADS = Failure(NotSentError("another daemon may lead"))
 
 
 @attrs.define(eq=False)
-class _Held:
-    """What is known of the grants of one range to its owner."""
+class _GrantState:
+    """Grants of one range to its owner under one token.
+
+    Parameters
+    ----------
+    sent_ms : float
+        From when the hold of the latest grant is counted.
+    in_doubt_until_ms : float
+        Until when a grant without a response may still be carried out.
+    n_in_flight : int
+        Grants that are being sent.
+    fences : int
+        Attempts to fence the owner.
+    """
 
     sent_ms: float = float("-inf")
     in_doubt_until_ms: float = float("-inf")
-    under_way: int = 0
+    n_in_flight: int = 0
     fences: int = 0
 
 
 @attrs.define(eq=False)
-class _Contact:
-    """How grants to one server have fared."""
+class _ConnectionState:
+    """How grants to one process instance of a server have fared.
+
+    Parameters
+    ----------
+    failing_since_ms : float or None
+        Since when grants have failed; None while they succeed.
+    is_broken : bool
+        Whether tokens have to be raised because a connection has failed.
+    unconnected : list of KeyRange
+        Ranges that were not granted because no connection was open.
+    """
 
     failing_since_ms: float | None = None
-    has_broken: bool = False
+    is_broken: bool = False
     unconnected: list = attrs.Factory(list)
 
 
 @attrs.define(eq=False, repr=False)
 class GrantKeeper:
-    """Sends grants and releases, and notes until when each may be held.
+    """Sends grants and releases, and records until when each grant may be held.
 
     Parameters
     ----------
     view : FleetView
     leadership : Leadership
     grants : Grants
-        ``grant`` and ``release``.
+        Provides ``grant`` and ``release``.
     clock : Clock
     refused : set of (str, int, int)
-        Service, first key and token of grants that a server has seen a higher token
-        for; they are not sent again.
+        Service, first key and token of grants that a server refused because it has seen
+        a higher token. They are not sent again.
     n_grants : int
+        Grants sent so far.
     """
 
     view: object
@@ -89,43 +118,47 @@
     refused: set = attrs.Factory(set)
     n_grants: int = 0
     _term: int = 0
-    _held: dict = attrs.Factory(dict)
+    _grant_states: dict = attrs.Factory(dict)
     _unsent: set = attrs.Factory(set)
-    _contacts: dict = attrs.Factory(lambda: collections.defaultdict(_Contact))
-    _calls: dict = attrs.Factory(
-        lambda: collections.defaultdict(lambda: BoundedSemaphore(CALLS_PER_SERVER))
+    _connection_states: dict = attrs.Factory(
+        lambda: collections.defaultdict(_ConnectionState)
+    )
+    _release_slots: dict = attrs.Factory(
+        lambda: collections.defaultdict(
+            lambda: BoundedSemaphore(MAX_RELEASES_PER_SERVER)
+        )
     )
 
     @property
     def timing(self):
-        """Times of grants."""
         return self.leadership.timing
 
     def begin_term(self):
-        """Forget what was known of grants if others may have led since; tell whether.
+        """Discard the recorded grants if the term has changed; return whether it has.
 
-        Only then: a leader that the store did not confirm for a while, and that no
-        other has replaced, still knows all grants, and others gave none.
+        A leader that the store could not confirm for some time, and that no other
+        daemon has replaced, still knows all grants, since no other daemon has sent any.
         """
         term = self.leadership.term
         if term == self._term:
             return False
         self._term = term
-        self._held.clear()
+        self._grant_states.clear()
         self._unsent.clear()
         return True
 
     def is_current(self, service, item):
-        """Tell whether a range is still this owner's, and this daemon the leader."""
+        """Return whether a range is unchanged and this daemon is the leader."""
         table = self.view.tables.get(service)
         return self.leadership.leads and table.find(item.first) == item
 
     def may_act(self, service, item):
-        """Tell whether a move may be carried on: by one daemon only.
+        """Return whether this daemon may continue a move.
 
-        A leader that the store has not confirmed lately still renews, but its successor
-        may already carry on the same moves: a fencing grant of the one would give the
-        old owner keys that the other has just given to the new one.
+        A leader that the store has not confirmed recently still renews grants, but its
+        successor may already be continuing the same moves. A fencing grant from the old
+        leader would then give the old owner keys that the successor has just granted to
+        the new owner.
         """
         return self.leadership.may_move and self.is_current(service, item)
 
@@ -139,22 +172,40 @@
         hold_ms=None,
         record=None,
     ):
-        """Send one grant and note until when it may be held.
+        """Send one grant and record until when it may be held.
 
-        It is noted under the token of its owner, or under ``record`` for a fence. A
-        connection is opened only for a token that was never sent: the server may have
-        started again at its address, and each life has to get a higher token.
+        A connection is opened only for a token that has never been sent: the server may
+        have restarted at its address, and each process instance has to get a higher
+        token than the one before.
+
+        Parameters
+        ----------
+        service : str
+        item : KeyRange
+        owner : str
+            The server that gets the grant.
+        token : int
+        handover : str, default=""
+            State that the previous owner handed over.
+        hold_ms : float, optional
+            Hold time; by default that of ``timing``.
+        record : int, optional
+            Token under which the grant is recorded, if it is a fencing grant.
+
+        Returns
+        -------
+        result : Result
         """
         address = self._address(service, owner)
         if not address:
             return NO_ADDRESS
         key = service, item.first, token
-        is_first = record is not None or key in self._unsent
+        is_new_token = record is not None or key in self._unsent
         self._unsent.discard(key)
-        held = self._held_of(service, item.first, record or token)
+        state = self._held_of(service, item.first, record or token)
         hold_ms = self.timing.hold_ms if hold_ms is None else hold_ms
         sent_ms = self.clock.now_ms()
-        held.under_way += 1
+        state.n_in_flight += 1
         try:
             result = self.grants.grant(
                 owner,
@@ -164,112 +215,121 @@
                 token,
                 hold_ms,
                 handover,
-                ANSWER_MS,
+                GRANT_TIMEOUT_MS,
                 life=item.life if owner == item.owner else item.old_life,
-                reuse_only=not is_first,
+                reuse_only=not is_new_token,
             )
         finally:
-            held.under_way -= 1
-        self._note(held, sent_ms, result)
-        if is_first and record is None:
-            self._note_unsent(key, result)
+            state.n_in_flight -= 1
+        self._note(state, sent_ms, result)
+        if is_new_token and record is None:
+            self._restore_unsent(key, result)
         return result
 
-    def renew_through(self, send, service, owner, items):
-        """Have renewals of one owner sent by another daemon; a list of their Results.
+    def renew_via_relay(self, send, service, owner, items):
+        """Renew ranges of one owner through another daemon.
 
         Parameters
         ----------
         send : callable
-            ``send(owner, address, items, hold_ms, are_first)``, which returns the
-            list.
+            ``send(owner, address, items, hold_ms, are_new_tokens)``, which returns a
+            list of Results.
         service, owner : str
         items : list of KeyRange
+
+        Returns
+        -------
+        results : list of Result
+            One for each range.
         """
         address = self._address(service, owner)
         if not address:
             return [NO_ADDRESS] * len(items)
         keys = [(service, item.first, item.token) for item in items]
-        are_first = [key in self._unsent for key in keys]
+        are_new_tokens = [key in self._unsent for key in keys]
         self._unsent.difference_update(keys)
-        held = [self._held_of(*key) for key in keys]
+        states = [self._held_of(*key) for key in keys]
         sent_ms = self.clock.now_ms()
-        for each in held:
-            each.under_way += 1
+        for state in states:
+            state.n_in_flight += 1
         try:
-            results = send(owner, address, items, self.timing.hold_ms, are_first)
+            results = send(owner, address, items, self.timing.hold_ms, are_new_tokens)
         finally:
-            for each in held:
-                each.under_way -= 1
-        for each, result in zip(held, results, strict=True):
-            self._note(each, sent_ms, result)
-        for key, is_first, result in zip(keys, are_first, results, strict=True):
-            if is_first:
-                self._note_unsent(key, result)
+            for state in states:
+                state.n_in_flight -= 1
+        for state, result in zip(states, results, strict=True):
+            self._note(state, sent_ms, result)
+        for key, is_new_token, result in zip(
+            keys, are_new_tokens, results, strict=True
+        ):
+            if is_new_token:
+                self._restore_unsent(key, result)
         return results
 
-    def _note_unsent(self, key, result):
-        """Take in that a range's first grant did not leave, if it did not."""
+    def _restore_unsent(self, key, result):
+        """Mark a token as unsent again if its first grant was not sent."""
         failed = not is_successful(result)
         if failed and isinstance(result.failure(), NotSentError):
             self._unsent.add(key)
 
     def note_new(self, service, item):
-        """Take in that a range has got a token that nobody has been sent."""
+        """Record that no server has been sent the token of a range yet."""
         self._unsent.add((service, item.first, item.token))
 
     def is_unsent(self, service, item):
-        """Tell whether nobody has been sent a range under its token."""
+        """Return whether no server has been sent the token of a range yet."""
         return (service, item.first, item.token) in self._unsent
 
-    def note_raised(self, service, item):
-        """Take in that a range's token is to be raised, its owner being the same.
+    def copy_to_raised_token(self, service, item):
+        """Record earlier grants under the token that a range is about to be raised to.
 
-        What it was granted before counts for the higher token, too.
+        The owner stays the same, so what it may hold under the current token counts for
+        the higher one, too.
         """
-        held = self._held_of(service, item.first, item.token)
-        self._held[service, item.first, item.raised().token] = held
+        state = self._held_of(service, item.first, item.token)
+        self._grant_states[service, item.first, item.raised().token] = state
 
-    def _note(self, held, sent_ms, result):
-        """Take in what became of a grant that was sent at a time."""
+    def _note(self, state, sent_ms, result):
+        """Record the outcome of a grant."""
         self.n_grants += 1
         if is_successful(result):
-            # Counted from the answer: it can't have arrived later.
-            held.sent_ms = self.clock.now_ms()
-        elif not isinstance(result.failure(), UNGRANTED):
-            held.sent_ms = self.clock.now_ms()
-            held.in_doubt_until_ms = sent_ms + LATE_GRANT_MS
+            # The hold is counted from the response: the grant cannot have arrived
+            # later.
+            state.sent_ms = self.clock.now_ms()
+        elif not isinstance(result.failure(), NOT_GRANTED_ERRORS):
+            state.sent_ms = self.clock.now_ms()
+            state.in_doubt_until_ms = sent_ms + LATE_GRANT_MS
 
     def _held_of(self, service, first, token):
         key = service, first, token
-        held = self._held.get(key)
-        if held is None:
-            # An earlier leader may have renewed it until it stopped, and not all it
-            # has sent need have been applied.
+        state = self._grant_states.get(key)
+        if state is None:
+            # An earlier leader may have renewed the range until it stopped, and some of
+            # its grants may not have been carried out yet.
             before = self.leadership.inherited
-            held = _Held(before.stopped_ms, before.doubt_ends_ms(key))
-            self._held[key] = held
-        return held
+            state = _GrantState(before.stopped_ms, before.doubt_ends_ms(key))
+            self._grant_states[key] = state
+        return state
 
-    def share(self, service, whole_first, first, token):
-        """Take in that a piece was cut off a range, under the same token.
+    def copy_to_piece(self, service, whole_first, first, token):
+        """Record that a piece was split off a range under the same token.
 
-        Grants of the whole range may still be on their way, and those of one piece are
-        known of the others from then on: to think that a piece may be held for longer
-        than it is costs a wait, the reverse two owners.
+        Grants of the whole range may still be in flight, so all pieces share one state
+        from then on. Assuming that a piece is held for too long only delays its next
+        move; assuming too short a hold would allow two owners.
         """
-        held = self._held_of(service, whole_first, token)
-        self._held[service, first, token] = held
+        state = self._held_of(service, whole_first, token)
+        self._grant_states[service, first, token] = state
         if (service, whole_first, token) in self._unsent:
             self._unsent.add((service, first, token))
 
     def doubts(self):
-        """Return what the next leader has to know: an Inherited of all grants."""
+        """Return the InheritedGrants for the next leader: all grants still in doubt."""
         before, now_ms = self.leadership.inherited, self.clock.now_ms()
         ranges = dict(before.ranges)
-        for key, held in self._held.items():
-            until_ms = held.in_doubt_until_ms
-            if held.under_way:
+        for key, state in self._grant_states.items():
+            until_ms = state.in_doubt_until_ms
+            if state.n_in_flight:
                 until_ms = now_ms + LATE_GRANT_MS
             ranges[key] = max(until_ms, ranges.get(key, 0.0))
         return attrs.evolve(before, ranges=ranges)
@@ -281,59 +341,78 @@
         return self.view.tables[service].addresses.get(name, "")
 
     def forget(self, service, first, token):
-        """Forget the grants of a range under a token whose end is proved."""
-        self._held.pop((service, first, token), None)
+        """Discard the grants of a range under a token whose holder has released it."""
+        self._grant_states.pop((service, first, token), None)
 
-    def contact(self, identity):
-        """Return how grants to a server have fared."""
-        return self._contacts[identity]
+    def connection_state(self, identity):
+        """Return how grants to a process instance of a server have fared."""
+        return self._connection_states[identity]
 
-    def note_reached(self, name, contact):
-        if contact.failing_since_ms is not None:
-            after_ms = round(self.clock.now_ms() - contact.failing_since_ms)
+    def mark_reachable(self, name, connection_state):
+        if connection_state.failing_since_ms is not None:
+            after_ms = round(self.clock.now_ms() - connection_state.failing_since_ms)
             log_event("server-regained", server=name, after_ms=after_ms)
-            contact.failing_since_ms = None
+            connection_state.failing_since_ms = None
 
     def is_unreachable(self, identity):
-        since_ms = self._contacts[identity].failing_since_ms
-        return since_ms is not None and since_ms + UNREACHABLE_MS < self.clock.now_ms()
+        since_ms = self._connection_states[identity].failing_since_ms
+        return (
+            since_ms is not None
+            and since_ms + UNREACHABLE_AFTER_MS < self.clock.now_ms()
+        )
 
     def release(self, service, item):
-        """Take a range back from its old owner; a Result with what it hands over.
+        """Take a range back from its old owner.
+
+        If a grant to the old owner may still be in flight, the owner is fenced first. A
+        grant that is carried out after the release would give it the keys back; a
+        server that has seen a higher token refuses the grant.
 
-        If a grant may still be on its way to it, it is fenced first: a grant that is
-        applied after the release would give it the keys back, but once it has seen a
-        higher token it refuses it.
+        Returns
+        -------
+        result : Result
+            Success with the state that the old owner hands over.
         """
         address = self._address(service, item.old_owner)
         if not address:
             return NO_ADDRESS
         token = item.old_token
-        held = self._held_of(service, item.first, token)
-        with self._calls[address]:
+        state = self._held_of(service, item.first, token)
+        with self._release_slots[address]:
             if not self.may_act(service, item):
                 return NO_LONGER_LEADS
-            if held.under_way or self.clock.now_ms() < held.in_doubt_until_ms:
-                fenced = self._fence(service, item, held)
+            if state.n_in_flight or self.clock.now_ms() < state.in_doubt_until_ms:
+                fenced = self._fence(service, item, state)
                 if not is_successful(fenced):
                     return fenced
                 token = fenced.unwrap()
                 if not self.may_act(service, item):
                     return NO_LONGER_LEADS
             return self.grants.release(
-                item.old_owner, address, item.first, item.last, token, RELEASE_MS
+                item.old_owner,
+                address,
+                item.first,
+                item.last,
+                token,
+                RELEASE_TIMEOUT_MS,
             )
 
-    def _fence(self, service, item, held):
-        """Show the old owner a token above all that it may yet be granted under.
+    def _fence(self, service, item, state):
+        """Show the old owner a token above every token it may still be granted.
+
+        Each attempt uses a higher token: it is unknown when an attempt without a
+        response will be carried out, and once the keys have moved it would give them
+        back to the old owner.
 
-        Each try has a higher one: of one without an answer nobody knows when it is
-        applied, and after the keys have moved it would give them back.
+        Returns
+        -------
+        result : Result
+            Success with the fencing token.
         """
-        token = fence_token(item.old_token, self.leadership.term, held.fences)
+        token = fence_token(item.old_token, self.leadership.term, state.fences)
         if token is None:
-            return NO_FENCE_LEFT
-        held.fences += 1
+            return NO_FENCING_TOKEN
+        state.fences += 1
         result = self.grant(
             service,
             item,
@@ -349,29 +428,29 @@
                 server=item.old_owner,
                 first=item.first,
                 token=token,
-                fences=held.fences,
+                fences=state.fences,
             )
         return result.map(lambda _: token)
 
     def time_proves(self, service, first, token):
-        """Tell whether all grants of a range under a token must have ended.
+        """Return whether all grants of a range under a token have expired.
 
-        Also those without an answer, or without one yet: a server that can't be reached
-        now may have taken one before, and carry it out later.
+        Grants without a response, and grants still in flight, count as held: a server
+        that is unreachable now may have received one earlier and carry it out later.
         """
-        held = self._held_of(service, first, token)
-        if held.under_way:
+        state = self._held_of(service, first, token)
+        if state.n_in_flight:
             return False
-        end_ms = held.sent_ms + self.timing.longest_hold_ms
-        return self.clock.now_ms() > max(end_ms, held.in_doubt_until_ms)
+        end_ms = state.sent_ms + self.timing.longest_hold_ms
+        return self.clock.now_ms() > max(end_ms, state.in_doubt_until_ms)
 
     def has_later_life(self, name, life):
-        """Tell whether a later process is listed under the same name."""
+        """Return whether a later process instance is listed under the same name."""
         server = self.view.directory.servers.get(name)
         return server is not None and server.life > life
 
     def address_reused(self, service, name, life):
-        """Tell whether a later process of another name is listed at its address."""
+        """Return whether a later process of another server is listed at the address."""
         address = self.view.tables[service].addresses.get(name)
         return any(
             other.address == address and other.life > life and other.name != name
@@ -379,6 +458,6 @@
         )
 
     def has_lost(self, service, name):
-        """Tell whether a server has closed the connection that grants go over."""
+        """Return whether a server has closed the connection that its grants use."""
         address = self._address(service, name)
         return bool(address) and self.grants.has_lost(address)
--- a/src/tarragonramp/roles/mover.py
+++ b/src/tarragonramp/roles/mover.py
@@ -1,9 +1,9 @@
-"""Takes ranges of keys back from servers, and gives them to the next ones.
+"""Releases ranges of keys from their owners and grants them to new owners.
 
-In between stands a write to the store: that the earlier owner has let go. Only then is
-the next one granted the range, so that whoever leads next knows what each may hold.
-Granted before, a new leader would fence the earlier owner under a token below that of
-the next, and both would hold the keys.
+Between the two, a write to the store records that the earlier owner has released the
+range. The new owner is granted the range only afterwards, so that the next leader knows
+what each server may hold. If it were granted earlier, a new leader would fence the
+earlier owner with a token below that of the new owner, and both would hold the keys.
 """
 
 import attrs
@@ -17,12 +17,22 @@
 __all__ = ["Mover"]
 
 RETRY_MS = 250.0
-"""Between two tries to release or to grant a range."""
+"""Delay between two attempts to release or to grant a range."""
 
 
 @attrs.frozen
-class _Release:
-    """How a range was taken back."""
+class _ReleaseProof:
+    """How a range was released.
+
+    Parameters
+    ----------
+    proof : str
+        Reason why the old owner cannot hold the range any more.
+    handover : str
+        State that the old owner handed over; empty if there is none.
+    began_ms : float
+        When the release was started.
+    """
 
     proof: str
     handover: str
@@ -31,17 +41,17 @@
 
 @attrs.define(eq=False, repr=False)
 class Mover:
-    """Carries on the moves that the store says are under way.
+    """Carries out the moves that the store records as in progress.
 
     Parameters
     ----------
     view : FleetView
-    keeper : GrantKeeper
+    tracker : GrantTracker
     clock : Clock
     on_released : callable
-        Called without arguments whenever an owner has let go of a range.
+        Called without arguments whenever an owner has released a range.
     n_handovers : int
-        Moves whose new owner got what the old one knew.
+        Moves whose new owner received state from the old one.
     """
 
     view: object
@@ -50,39 +60,37 @@
     on_released: object
     n_handovers: int = 0
     _taking: dict = attrs.Factory(dict)
-    _released: dict = attrs.Factory(dict)
-    _giving: set = attrs.Factory(set)
+    _proofs: dict = attrs.Factory(dict)
+    _granting: set = attrs.Factory(set)
 
-    def take_back(self, service, item):
-        """Begin to take a range back, unless that is under way or done."""
+    def start_release(self, service, item):
+        """Start to release a range, unless the release is in progress or done."""
         key = service, item.first, item.token
-        if key not in self._taking and key not in self._released:
+        if key not in self._taking and key not in self._proofs:
             self._taking[key] = gevent.spawn(self._take_back, service, item, key)
 
     def is_released(self, service, item):
-        """Tell whether a range's earlier owner has let go of it.
+        """Return whether the earlier owner of a range has released it.
 
-        True until the range was granted to its new owner, which nobody else should do
-        meanwhile: what the earlier owner handed over is for the first grant.
+        True until the range has been granted to its new owner. Only this mover grants
+        it meanwhile, since the first grant carries the state that the earlier owner
+        handed over.
         """
-        return (service, item.first, item.token) in self._released
+        return (service, item.first, item.token) in self._proofs
 
     def begin_term(self):
-        """Forget which owners have let go: others may have fenced them since."""
+        """Discard proofs of release: other leaders may have fenced the owners since."""
         gevent.killall(list(self._taking.values()), block=False)
         self._taking.clear()
-        self._released.clear()
-        self._giving.clear()
-
-    def give(self, service, item):
-        """Grant a range, of which the store says that it is free, to its new owner.
+        self._proofs.clear()
+        self._granting.clear()
 
-        Unless that is under way or done.
-        """
+    def grant_to_new_owner(self, service, item):
+        """Start to grant a range that the store records as free, once per release."""
         key = service, item.first, item.token
-        if key in self._released and key not in self._giving:
-            self._giving.add(key)
-            gevent.spawn(self._give, service, item, key)
+        if key in self._proofs and key not in self._granting:
+            self._granting.add(key)
+            gevent.spawn(self._grant_to_new_owner, service, item, key)
 
     def _take_back(self, service, item, key):
         began_ms = self.clock.now_ms()
@@ -90,47 +98,48 @@
             proof, handover = self._prove_release(service, item)
             if proof is None:
                 return
-            self._released[key] = _Release(proof, handover, began_ms)
+            self._proofs[key] = _ReleaseProof(proof, handover, began_ms)
             self.keeper.forget(service, item.first, item.old_token)
             self.on_released()
         finally:
             self._taking.pop(key, None)
 
     def _prove_release(self, service, item):
-        """Return how it is known that the old owner has let go, and its handover.
+        """Release a range; return the proof of the release and the handed over state.
 
-        It is asked first, also if time has proved it: what it hands over spares the new
-        owner a cold start. A later life of it is asked as well: a grant that was meant
-        for the earlier one may have reached it before it was listed.
+        The old owner is asked first, even if its grants have expired: the state that it
+        hands over spares the new owner a cold start. A later process instance of it is
+        asked as well: a grant meant for the earlier instance may have reached it before
+        it was listed.
         """
-        was_asked = self.view.directory.servers.get(item.old_owner) is None
+        release_tried = self.view.directory.servers.get(item.old_owner) is None
         while self.keeper.may_act(service, item):
             if self.keeper.address_reused(service, item.old_owner, item.old_life):
                 return "address reused", ""
-            is_later = self.keeper.has_later_life(item.old_owner, item.old_life)
-            if (was_asked or is_later) and self.keeper.time_proves(
+            has_restarted = self.keeper.has_later_life(item.old_owner, item.old_life)
+            if (release_tried or has_restarted) and self.keeper.time_proves(
                 service, item.first, item.old_token
             ):
                 return "time", ""
             result = self.keeper.release(service, item)
             if is_successful(result):
-                if is_later:
+                if has_restarted:
                     return "life ended", ""
                 return "released", result.unwrap()
             if isinstance(result.failure(), WrongServerError):
-                # An address is given to another server only after the end of this.
+                # An address is reused only after the process that had it has ended.
                 return "address reused", ""
-            was_asked = True
+            release_tried = True
             gevent.sleep(RETRY_MS / 1000.0)
         return None, ""
 
-    def _give(self, service, item, key):
-        """Grant a range first; later its owner's renewals do, also if this fails."""
-        release = self._released.get(key)
+    def _grant_to_new_owner(self, service, item, key):
+        """Grant a range for the first time; renewals take over, even if this fails."""
+        release = self._proofs.get(key)
         if release is None:
             return
         try:
-            if not self._grant_first(service, item, release.handover):
+            if not self._send_first_grant(service, item, release.handover):
                 return
             log_event(
                 "keys-moved",
@@ -144,13 +153,14 @@
             )
             self.n_handovers += bool(release.handover)
         finally:
-            self._released.pop(key, None)
-            self._giving.discard(key)
+            self._proofs.pop(key, None)
+            self._granting.discard(key)
 
-    def _grant_first(self, service, item, handover):
-        """Tell whether the new owner has taken the range; False if that is not known.
+    def _send_first_grant(self, service, item, handover):
+        """Return whether the new owner has accepted the range; False if unknown.
 
-        Then its renewals go on, under a higher token if a connection is to be opened.
+        In that case renewals continue, under a raised token if they need a new
+        connection.
         """
         while self.keeper.is_current(service, item):
             result = self.keeper.grant(service, item, item.owner, item.token, handover)
@@ -164,9 +174,9 @@
             server = self.view.directory.servers.get(item.owner)
             if server is None or server.life != item.life or server.draining:
                 return False
-            contact = self.keeper.contact((item.owner, item.life))
-            if contact.failing_since_ms is None:
-                contact.failing_since_ms = self.clock.now_ms()
+            connection_state = self.keeper.connection_state((item.owner, item.life))
+            if connection_state.failing_since_ms is None:
+                connection_state.failing_since_ms = self.clock.now_ms()
             if self.keeper.is_unreachable((item.owner, item.life)):
                 return False
             gevent.sleep(RETRY_MS / 1000.0)
--- a/src/tarragonramp/roles/relay.py
+++ b/src/tarragonramp/roles/relay.py
@@ -1,9 +1,9 @@
-"""Renewals that the leader has a daemon of the server's own failure domain send.
+"""Renewals that the leader sends through a daemon in the server's failure domain.
 
-One message for all ranges of a server crosses failure domains instead of a call for
-each, and the work is divided among the daemons. Who may hold what is the leader's
-knowledge alone: a relay sends what it was told at once or not at all, and a renewal of
-which the leader has no answer is in doubt, as one that it sent itself would be.
+A single message for all ranges of a server crosses failure domains instead of one call
+for each range, and the work is spread over the daemons. Only the leader knows which
+server may hold what: a relay sends a renewal immediately or not at all, and a renewal
+for which the leader has no response is in doubt, like one that it sent itself.
 """
 
 import attrs
@@ -23,33 +23,40 @@
 __all__ = ["Relay", "Relays", "has_no_connection"]
 
 VALID_MS = 800.0
-"""How long after a relay has read a message it still sends. Less than the leader waits:
-a relay that stood still meanwhile must not renew what has moved on since."""
+"""How long after reading a message a relay still sends its renewals.
+
+The leader waits longer than this. A relay that was paused meanwhile must not renew
+ranges that have moved since."""
 
 FRESH_MS = 2500.0
-"""How old a message may be. It names a reading of the relay's clock that the leader had
-before it sent the message, so that its age is known without the leader: a relay that
-stood still may thaw cut off from it, and sees no end of the connection. A reading comes
-with each question for news, some half a second apart."""
+"""Maximum age of a message.
+
+The message carries a reading of the relay's clock that the leader had before it sent
+the message, so the relay can tell its age without the leader. A relay that was paused
+may resume while it is cut off from the leader, and does not see that the connection has
+ended. The leader gets a new reading with each ping, about every half second."""
 
-GRANT_MS = 600.0
-"""Timeout of a grant that a relay sends; a server answers in a millisecond."""
+GRANT_TIMEOUT_MS = 600.0
+"""Timeout of a grant that a relay sends. A server normally responds within a
+millisecond."""
 
-ANSWER_MS = VALID_MS + GRANT_MS + 100.0
-"""Timeout of a message to a relay, whose last grant may be late and unanswered."""
+MESSAGE_TIMEOUT_MS = VALID_MS + GRANT_TIMEOUT_MS + 100.0
+"""Timeout of a message to a relay, whose last grant may be sent late and time out."""
 
-PASSED_OVER_MS = 10_000.0
-"""How long a relay that failed is not used; the leader then renews by itself."""
+EXCLUSION_MS = 10_000.0
+"""How long a relay that failed is not used; the leader then renews directly."""
 
-LEAST_RANGES = 3
-"""Fewer are not worth a message."""
+MIN_RANGES = 3
+"""With fewer ranges a message to a relay is not worthwhile."""
 
-DONE = "done"
-GOES_ON = (DONE, "overtaken", "no connection")
-"""After these a relay goes on with the next range: a token that no connection has
-carried must not hold up the others of its server."""
+GRANTED = "done"
+CONTINUE_AFTER = (GRANTED, "overtaken", "no connection")
+"""Results after which a relay continues with the next range.
+
+A token for which no connection is open must not delay the other ranges of its server.
+"""
 
-ERRORS = {
+ERRORS_BY_STATUS = {
     "overtaken": OvertakenGrantError,
     "wrong server": WrongServerError,
     "no connection": NoConnectionError,
@@ -60,7 +67,7 @@
 
 @attrs.define(eq=False, repr=False)
 class Relay:
-    """The side of the daemon that is asked.
+    """Sends renewals on behalf of the leader.
 
     Parameters
     ----------
@@ -77,28 +84,32 @@
         Parameters
         ----------
         message : dict
-            Plain data, as :meth:`Relays.send` makes it.
+            Plain data, as :meth:`RelayPool.send` builds it.
         is_wanted : callable, optional
-            Whether the leader still waits. One that does not may have waited while
-            this process stood still, and counts on time to prove that none is sent.
+            Returns whether the leader still waits. A leader that has given up may have
+            waited while this process was paused, and relies on the renewals not being
+            sent any more.
 
         Returns
         -------
         answer : dict
-            ``results``: a word for each renewal, in their order; those for which there
-            is none were not sent. If the message may be too old, only ``clock_ms``:
-            the reading for the next one.
+            ``results``: a status for each renewal, in their order; renewals without a
+            status were not sent. If the message may be too old, only ``clock_ms``: the
+            clock reading for the next message.
         """
-        now_ms, asked_ms = self.clock.now_ms(), message["clock_ms"]
-        if asked_ms is None or not asked_ms <= now_ms < asked_ms + FRESH_MS:
+        now_ms, clock_reading_ms = self.clock.now_ms(), message["clock_ms"]
+        if (
+            clock_reading_ms is None
+            or not clock_reading_ms <= now_ms < clock_reading_ms + FRESH_MS
+        ):
             return {"clock_ms": now_ms}
-        until_ms = min(now_ms + VALID_MS, asked_ms + FRESH_MS)
+        until_ms = min(now_ms + VALID_MS, clock_reading_ms + FRESH_MS)
         server, address = message["server"], message["address"]
         results = []
         if self.grants.has_lost(address):
-            # It may have started again; the leader has to find out first.
+            # The server may have restarted, which the leader has to find out first.
             return {"results": ["not sent"]}
-        for first, last, token, is_first in message["ranges"]:
+        for first, last, token, is_new_token in message["ranges"]:
             if self.clock.now_ms() > until_ms or not is_wanted():
                 break
             result = self.grants.grant(
@@ -109,19 +120,19 @@
                 token,
                 message["hold_ms"],
                 "",
-                GRANT_MS,
+                GRANT_TIMEOUT_MS,
                 life=message.get("life", 0),
-                reuse_only=not is_first,
+                reuse_only=not is_new_token,
             )
-            results.append(_word_of(result))
-            if results[-1] not in GOES_ON:
+            results.append(_status_of(result))
+            if results[-1] not in CONTINUE_AFTER:
                 break
         return {"results": results}
 
 
 @attrs.define(eq=False, repr=False)
 class Relays:
-    """The leader's side.
+    """Selects relays and sends them renewals, on the leader.
 
     Parameters
     ----------
@@ -135,12 +146,12 @@
     leadership: object
     peers: object
     clock: object
-    _passed_over_ms: dict = attrs.Factory(dict)
+    _excluded_until_ms: dict = attrs.Factory(dict)
 
     def pick(self, server_name):
         """Return the address of the relay for a server; empty if there is none.
 
-        None for servers of the leader's own failure domain.
+        Servers in the leader's own failure domain have no relay.
         """
         server = self.view.directory.servers.get(server_name)
         if server is None:
@@ -149,12 +160,12 @@
         addresses = [
             address
             for address in self.leadership.daemons_in(server.failure_domain)
-            if self._passed_over_ms.get(address, 0.0) <= now_ms
+            if self._excluded_until_ms.get(address, 0.0) <= now_ms
         ]
         return max(addresses, key=lambda a: _rank(server_name, a), default="")
 
-    def send(self, relay, server, address, items, hold_ms, are_first):
-        """Have a relay renew ranges of one life of a server.
+    def send(self, relay, server, address, items, hold_ms, are_new_tokens):
+        """Have a relay renew ranges of one process instance of a server.
 
         Parameters
         ----------
@@ -162,15 +173,16 @@
         items : list of KeyRange
             At least one.
         hold_ms : float
-        are_first : list of bool
-            Whether nobody has sent a range's token before; only then may the relay
+        are_new_tokens : list of bool
+            Whether the token of each range has never been sent; only then may the relay
             open a connection for it.
 
         Returns
         -------
         results : list of Result
-            One for each range: as the server answered, NotSentError for those that the
-            relay did not send, UnansweredError for all if it did not answer.
+            One for each range: the server's response, NotSentError for renewals that
+            the relay did not send, or UnansweredError for all if the relay did not
+            respond.
         """
         message = {
             "server": server,
@@ -178,42 +190,44 @@
             "hold_ms": hold_ms,
             "life": items[0].life,
             "ranges": [
-                [item.first, item.last, item.token, is_first]
-                for item, is_first in zip(items, are_first, strict=True)
+                [item.first, item.last, item.token, is_new_token]
+                for item, is_new_token in zip(items, are_new_tokens, strict=True)
             ],
         }
-        result = self._ask(relay, message)
+        result = self._send_message(relay, message)
         if is_successful(result):
-            words = result.unwrap().get("results", [])
-            results = [_result_of(word) for word in words[: len(items)]]
-            unsent = "no connection" if set(words) == {"no connection"} else "not sent"
+            statuses = result.unwrap().get("results", [])
+            results = [_result_of(status) for status in statuses[: len(items)]]
+            unsent = (
+                "no connection" if set(statuses) == {"no connection"} else "not sent"
+            )
             results += [_result_of(unsent)] * (len(items) - len(results))
         else:
             results = [Failure(result.failure())] * len(items)
         unanswered = [r for r in results if not _is_answered(r)]
         if not all(map(has_no_connection, unanswered)):
-            self.pass_over(relay, server)
+            self.exclude(relay, server)
         return results
 
-    def _ask(self, relay, message):
-        """Send a message, and again if the relay's clock reading has to be newer."""
-        clock_ms = self.leadership.clock_of(relay)
+    def _send_message(self, relay, message):
+        """Send a message; send it again if the clock reading in it was too old."""
+        clock_ms = self.leadership.clock_reading_of(relay)
         for _ in range(2):
-            dated = {**message, "clock_ms": clock_ms}
-            result = self.peers.relay(relay, dated, ANSWER_MS)
+            stamped = {**message, "clock_ms": clock_ms}
+            result = self.peers.relay(relay, stamped, MESSAGE_TIMEOUT_MS)
             clock_ms = result.value_or({}).get("clock_ms")
             if clock_ms is None:
                 break
         return result
 
-    def pass_over(self, relay, server):
-        """Use others than a relay for a while, as it could not reach a server."""
-        self._passed_over_ms[relay] = self.clock.now_ms() + PASSED_OVER_MS
+    def exclude(self, relay, server):
+        """Do not use a relay for some time, since it could not reach a server."""
+        self._excluded_until_ms[relay] = self.clock.now_ms() + EXCLUSION_MS
         log_event("relay-passed-over", relay=relay, server=server)
 
 
 def has_no_connection(result):
-    """Tell whether a grant was not sent because no connection was open."""
+    """Return whether a grant was not sent because no connection was open."""
     failed = not is_successful(result)
     return failed and isinstance(result.failure(), NoConnectionError)
 
@@ -222,17 +236,26 @@
     return is_successful(result) or isinstance(result.failure(), OvertakenGrantError)
 
 
-def _word_of(result):
+def _status_of(result):
     if is_successful(result):
-        return DONE
+        return GRANTED
     error = result.failure()
-    return next((w for w, kind in ERRORS.items() if isinstance(error, kind)), "silent")
-
-
-def _result_of(word):
-    if word == DONE:
+    return next(
+        (
+            status
+            for status, kind in ERRORS_BY_STATUS.items()
+            if isinstance(error, kind)
+        ),
+        "silent",
+    )
+
+
+def _result_of(status):
+    if status == GRANTED:
         return Success(None)
-    return Failure(ERRORS.get(word, UnansweredError)(f"told by the relay: {word}"))
+    return Failure(
+        ERRORS_BY_STATUS.get(status, UnansweredError)(f"told by the relay: {status}")
+    )
 
 
 def _rank(server_name, address):
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -59,7 +59,7 @@
         )
         nothing = {"version": 1, "names": [], "objects": []}
         self.leader.follower.take_news(dict.fromkeys(FOLLOWED_KINDS, nothing))
-        self.leader.follower.use_store("leads")
+        self.leader.follower.follow_store("leads")
         self.others = [self.new_daemon(f"e{i}") for i in range(1, N_DAEMONS)]
         self.version = 1000
         self.change(joining=N_SERVERS, leaving=0)
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -45,7 +45,7 @@
             Follower(FleetView(clock), None, None, None, clock) for _ in range(2)
         )
         read(one, 10)
-        one.note_trouble()
+        one.record_store_failure()
         for version in range(11, 31, 2):
             other.take_news(one.news_since(other.changed))
             read(other, version)
@@ -81,7 +81,7 @@
         listed = {"version": 5, "names": ["s1"], "objects": [row]}
         for follower in chain:
             follower.take_news({SERVER: listed})
-        chain[0].note_trouble()
+        chain[0].record_store_failure()
         chain[0].take_news({SERVER: {"version": 7, "names": [], "objects": []}})
         for teller, hearer in itertools.pairwise(chain):
             clock.advance(500.0)
--- a/tests/test_granter.py
+++ b/tests/test_granter.py
@@ -563,8 +563,11 @@
         self.assertTrue(self.wait(lambda: len(self.servers.bounds) > n_before, 5.0))
         self.assertEqual(self.servers.bounds[-1], {"life": 4, "reuse_only": True})
         # Nothing is known against the server: its keys stay, and it is tried again.
-        contact = self.granter.keeper.contact(("old", 4))
-        self.assertEqual((contact.has_broken, contact.failing_since_ms), (False, None))
+        connection_state = self.granter.keeper.connection_state(("old", 4))
+        self.assertEqual(
+            (connection_state.is_broken, connection_state.failing_since_ms),
+            (False, None),
+        )
         self.leader.may_move = True
         del self.servers.answers["grant", "old"]
         n_before = len(self.servers.bounds)
@@ -651,10 +654,10 @@
         relays = iter(["relay:1", "relay:2"])
         self.granter.relays = types.SimpleNamespace(
             pick=lambda name: next(relays, ""),
-            send=lambda relay, name, address, items, hold_ms, are_first: (
-                asked.append((relay, are_first)) or [UNCONNECTED] * len(items)
+            send=lambda relay, name, address, items, hold_ms, are_new_tokens: (
+                asked.append((relay, are_new_tokens)) or [UNCONNECTED] * len(items)
             ),
-            pass_over=lambda relay, server: None,
+            exclude=lambda relay, server: None,
         )
         self.start()
         self.assertTrue(self.wait(lambda: len(self.grants_to("old")) >= 4))
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -16,8 +16,8 @@
 from tarragonramp.leading import LATE_GRANT_MS, Inherited
 from tarragonramp.model import Stored
 from tarragonramp.roles.leadership import (
-    DEAF_WATCHERS,
-    LEAST_PING_MS,
+    MIN_PING_INTERVAL_MS,
+    WATCHERS_WHEN_CUT_OFF,
     Leadership,
 )
 from tarragonramp.roster import Roster
@@ -50,29 +50,29 @@
     """Stands for what follows the store."""
 
     changed, failing_since_ms = {}, {}
-    is_synced = uses_store = hears_store = True
-    deaf_in_ms = math.inf
+    is_synced = follows_store = hears_store = True
+    ms_until_cut_off = math.inf
     roster = Roster.of(["s1"])
 
     def __init__(self):
         self.reasons, self.behind = [], []
 
-    def use_store(self, reason):
+    def follow_store(self, reason):
         """Note why."""
         self.reasons.append(reason)
 
-    def lean_on(self, leader):
+    def follow_leader(self, leader):
         """Note whom."""
         self.reasons.append(f"lean {leader}")
 
-    def compare(self, peer, digest):
+    def compare_digests(self, peer, digest):
         """Compare nothing."""
 
     def catch_up(self, address, versions):
         """Note who knows what."""
         self.behind.append((address, versions))
 
-    def note_trouble(self):
+    def record_store_failure(self):
         """Note that a call to the store failed."""
         self.reasons.append("trouble")
 
@@ -92,7 +92,7 @@
         self.clock, self.lost_ms = clock, lost_ms
 
     @property
-    def deaf_in_ms(self):
+    def ms_until_cut_off(self):
         """How long until then."""
         return self.lost_ms - self.clock.now_ms()
 
@@ -138,20 +138,20 @@
 
     def stand_still(self, daemon):
         """Let a daemon see the record stand still for a whole lease."""
-        daemon._look()
+        daemon._discover_leader()
         self.clock.advance(daemon.timing.lease_ms + 1)
-        daemon._look()
+        daemon._discover_leader()
 
     def test_the_first_takes_the_record_and_the_second_does_not(self):
-        self.one._look()
-        self.other._look()
+        self.one._discover_leader()
+        self.other._discover_leader()
         self.assertTrue(self.one.leads)
         self.assertFalse(self.other.leads)
         self.one._keep()
         self.assertTrue(self.one.may_move)
 
     def test_a_silent_leader_is_replaced_and_told_so(self):
-        self.one._look()
+        self.one._discover_leader()
         self.stand_still(self.other)
         self.assertTrue(self.other.leads)
         self.assertFalse(self.one.leads)
@@ -165,9 +165,9 @@
         At 69 daemons each of them read everything anew and asked again and again: ten
         thousand calls in a day that should have some hundreds.
         """
-        self.one._look()
+        self.one._discover_leader()
         names = [f"e{domain}-{at:02}" for domain in "abcd" for at in range(16)]
-        for hears, n_watchers in ((True, 1), (False, DEAF_WATCHERS)):
+        for hears, n_watchers in ((True, 1), (False, WATCHERS_WHEN_CUT_OFF)):
             self.one.follower.hears_store = hears
             self.one._keep()
             self.assertEqual(len(self.told_to_watch(names)), n_watchers)
@@ -186,7 +186,7 @@
 
     def test_an_unconfirmed_leader_turns_others_to_the_store_within_the_bound(self):
         """Its calls get no answer; what changes is to be in force after two seconds."""
-        self.one._look()
+        self.one._discover_leader()
         names = ["e1", "e2", "e3"]
         self.clock.advance(self.one.timing.renew_ms + 500.0)
         self.assertEqual(len(self.told_to_watch(names)), 1)
@@ -195,7 +195,7 @@
 
     def test_who_waits_for_news_is_told_as_soon_as_the_store_is_lost(self):
         clock = self.one.clock = Clock()
-        self.one._look()
+        self.one._discover_leader()
         lost_ms = clock.now_ms() + 50.0
         self.one.follower = LosingFollower(clock, lost_ms)
         answer = self.one.heard({"name": "e1", "address": "e1:1", "versions": {}})
@@ -204,7 +204,7 @@
 
     def test_who_follows_the_store_for_a_leader_reports_soon(self):
         clock = self.one.clock = Clock()
-        self.one._look()
+        self.one._discover_leader()
         self.one.follower.hears_store = False
         self.assertIn("e1", self.told_to_watch(["e1"]))
         self.one.follower.news_since = lambda versions: {}
@@ -213,7 +213,7 @@
         self.assertLess(clock.now_ms(), began_ms + 250.0)
 
     def test_a_leader_asks_who_has_read_more_of_the_store(self):
-        self.one._look()
+        self.one._discover_leader()
         self.told_to_watch(["e1"])
         self.assertIn(("e1:1", {}), self.one.follower.behind)
 
@@ -221,7 +221,7 @@
         """Nobody has to ask the store; at 69 daemons each change cost 2,000 calls."""
         third = self.daemon("d3")
         for daemon in (self.one, third):
-            daemon._look()
+            daemon._discover_leader()
         self.stand_still(self.other)
         third.follower.reasons.clear()
         for daemon in self.daemons.values():
@@ -232,7 +232,7 @@
         self.assertEqual(third.follower.reasons, ["told by the leader"])
 
     def test_a_replaced_leader_does_not_wait_for_a_silent_store(self):
-        self.one._look()
+        self.one._discover_leader()
         self.stand_still(self.other)
         self.one.store = types.SimpleNamespace(get=lambda *name: gevent.sleep(60.0))
         task = gevent.spawn(self.one.run)
@@ -242,7 +242,7 @@
 
     def test_a_silent_store_holds_up_no_news_of_the_leader(self):
         for daemon in (self.one, self.other):
-            daemon._look()
+            daemon._discover_leader()
         self.one.follower.hears_store = False
         asked = []
         self.one.follower.news_since = lambda versions: asked.append(1) or {"any": {}}
@@ -255,7 +255,7 @@
     def test_a_successor_that_does_not_lead_either_is_asked_once(self):
         third = self.daemon("d3")
         for daemon in (self.one, third):
-            daemon._look()
+            daemon._discover_leader()
         self.stand_still(self.other)
         self.other.standing.give_up()
         for _ in range(3):
@@ -266,7 +266,7 @@
         """Only its own process knows which of its grants had no answer."""
         key, until_ms = ("parts", 0, 1), self.clock.now_ms() + 9000.0
         self.one.doubts = lambda: Inherited(0.0, 0.0, {key: until_ms})
-        self.one._look()
+        self.one._discover_leader()
         self.stand_still(self.other)
         self.assertEqual(self.other.inherited.doubt_ends_ms(key), until_ms)
         other_key = ("parts", 5, 1)
@@ -275,7 +275,7 @@
         )
 
     def test_without_its_word_all_its_grants_are_in_doubt(self):
-        self.one._look()
+        self.one._discover_leader()
         for silent in (True, False):
             before = self.daemons.pop("d1:1")
             if not silent:
@@ -289,7 +289,7 @@
 
     def test_a_leader_that_cannot_be_asked_is_waited_for(self):
         """It may be frozen, and renew once it wakes, until its right has ended."""
-        self.one._look()
+        self.one._discover_leader()
         del self.daemons["d1:1"]
         self.stand_still(self.other)
         self.assertTrue(self.other.leads)
@@ -299,17 +299,17 @@
         )
 
     def test_the_next_process_at_the_address_takes_over_at_once(self):
-        self.one._look()
+        self.one._discover_leader()
         again = self.daemon("d1", boot="c")
-        again._look()
+        again._discover_leader()
         self.assertTrue(again.leads)
         self.assertLessEqual(again.inherited.stopped_ms, self.clock.now_ms())
 
     def test_a_leader_that_stops_is_followed_without_a_wait(self):
-        self.one._look()
+        self.one._discover_leader()
         self.one.resign()
         self.assertFalse(self.one.leads)
-        self.other._look()
+        self.other._discover_leader()
         self.assertTrue(self.other.leads)
         self.assertLessEqual(self.other.inherited.stopped_ms, self.clock.now_ms())
 
@@ -319,7 +319,7 @@
         It gave up at once, and nobody could take over: seven seconds later no server
         held a key any more, and all their callers were refused.
         """
-        self.one._look()
+        self.one._discover_leader()
         self.store.is_down = True
         self.clock.advance(3 * self.one.timing.renew_ms)
         task = gevent.spawn(self.one.resign)
@@ -331,11 +331,11 @@
         self.one._keep()
         task.join(2.0)
         self.assertFalse(self.one.leads)
-        self.other._look()
+        self.other._discover_leader()
         self.assertTrue(self.other.leads)
 
     def test_a_lost_answer_to_the_own_write_costs_nothing(self):
-        self.one._look()
+        self.one._discover_leader()
         spec = {**self.store.stored.spec, "beat": 1}
         self.store.stored = Stored("", "", self.store.stored.version + 1, spec)
         self.one._keep()
@@ -349,38 +349,38 @@
         """
         server = BackendServer("s1", 1, "desk", "s1:80", "a", 3)
         self.one.view.directory.take(server)
-        calm_ms = self.one._news_wait_ms()
+        calm_ms = self.one._update_wait_ms()
         for _ in range(4):
             self.one.loads.sent(Chosen(server, "r", 0.0))
-        self.assertLess(self.one._news_wait_ms(), calm_ms / 2)
+        self.assertLess(self.one._update_wait_ms(), calm_ms / 2)
         # A leader of a large fleet has no time for that.
         self.one.view.daemons |= {f"x{i}": "x:1" for i in range(80)}
-        self.assertEqual(self.one._news_wait_ms(), calm_ms)
+        self.assertEqual(self.one._update_wait_ms(), calm_ms)
 
     def test_a_large_fleet_asks_less_often_while_everything_changes(self):
         """Ninety daemons that ask again at once fill the link of a small VM."""
         for daemon in (self.one, self.other):
-            daemon._look()
+            daemon._discover_leader()
         self.one.follower.news_since = lambda versions: {"any": {}}
-        self.assertEqual(self.other._follow(), LEAST_PING_MS)
+        self.assertEqual(self.other._follow(), MIN_PING_INTERVAL_MS)
         self.other.view.daemons |= {f"x{i}": "x:1" for i in range(90)}
         self.one.view.daemons |= self.other.view.daemons
         self.assertGreater(self.other._follow(), 150.0)
 
     def test_who_waited_for_news_asks_again_at_once(self):
         for daemon in (self.one, self.other):
-            daemon._look()
+            daemon._discover_leader()
         self.other.view.daemons |= {f"x{i}": "x:1" for i in range(90)}
         self.one.view.daemons |= self.other.view.daemons
         self.one.follower.news_since = lambda versions: (
             self.clock.advance(500.0) or {"any": {}}
         )
-        self.assertEqual(self.other._follow(), LEAST_PING_MS)
+        self.assertEqual(self.other._follow(), MIN_PING_INTERVAL_MS)
 
     def test_loads_of_the_others_are_passed_on(self):
-        self.one._look()
+        self.one._discover_leader()
         server = BackendServer("s1", 1, "desk", "s1:80", "a", 3)
         self.other.loads.sent(Chosen(server, "r", 0.0))
-        self.other._look()
-        self.assertEqual(self.one._loads_beside("d1", self.clock.now_ms()), {"s1": 1})
-        self.assertEqual(self.one._loads_beside("d2", self.clock.now_ms()), {})
+        self.other._discover_leader()
+        self.assertEqual(self.one._loads_except("d1", self.clock.now_ms()), {"s1": 1})
+        self.assertEqual(self.one._loads_except("d2", self.clock.now_ms()), {})
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -22,7 +22,7 @@
 )
 from tarragonramp.fleet_view import FleetView
 from tarragonramp.ranges import KeyRange
-from tarragonramp.roles.relay import FRESH_MS, PASSED_OVER_MS, VALID_MS, Relay, Relays
+from tarragonramp.roles.relay import EXCLUSION_MS, FRESH_MS, VALID_MS, Relay, Relays
 
 MESSAGE = {
     "server": "s1",
@@ -54,12 +54,12 @@
         self.clock.advance(self.took_ms)
         return self.answers.get(first, Success(None))
 
-    def words(self):
+    def statuses(self):
         """Return what the relay says of each renewal."""
         return self.relay.send(MESSAGE)["results"]
 
     def test_all_are_sent_as_the_leader_said(self):
-        self.assertEqual(self.words(), ["done"] * 3)
+        self.assertEqual(self.statuses(), ["done"] * 3)
         self.assertEqual(self.sent[2], ("s1", 20, 29, 5, 7000.0))
         self.assertEqual(self.bounds[1], {"life": 3, "reuse_only": True})
         self.assertEqual(self.bounds[2], {"life": 3, "reuse_only": False})
@@ -67,7 +67,7 @@
     def test_a_relay_that_stood_still_sends_no_more(self):
         """It freezes between two grants; what it thaws with may have moved on."""
         self.took_ms = VALID_MS + 1.0
-        self.assertEqual(self.words(), ["done"])
+        self.assertEqual(self.statuses(), ["done"])
         self.assertEqual(len(self.sent), 1)
 
     def test_a_message_may_be_older_than_its_leaders_silence(self):
@@ -85,7 +85,7 @@
             0: Failure(OvertakenGrantError("higher token")),
             10: Failure(UnansweredError("no answer")),
         }
-        self.assertEqual(self.words(), ["overtaken", "silent"])
+        self.assertEqual(self.statuses(), ["overtaken", "silent"])
 
     def test_what_nobody_waits_for_any_more_is_not_sent(self):
         """Guards against a relay that thaws with a message of long ago unread."""
@@ -112,16 +112,16 @@
     def test_a_token_without_a_connection_holds_up_no_other(self):
         """Guards against a server that loses all keys in an outage for a new one."""
         self.answers = {0: Failure(NoConnectionError("none is open"))}
-        self.assertEqual(self.words(), ["no connection", "done", "done"])
+        self.assertEqual(self.statuses(), ["no connection", "done", "done"])
 
     def test_another_server_at_the_address(self):
         self.answers = {0: Failure(WrongServerError("another one"))}
-        self.assertEqual(self.words(), ["wrong server"])
+        self.assertEqual(self.statuses(), ["wrong server"])
 
     def test_a_server_that_closed_its_connection_is_left_to_the_leader(self):
         """It may have started again and must not get the old token."""
         self.lost = True
-        self.assertEqual(self.words(), ["not sent"])
+        self.assertEqual(self.statuses(), ["not sent"])
         self.assertEqual(self.sent, [])
 
 
@@ -135,7 +135,8 @@
             view.directory.take(BackendServer(name, 1, "x", "s:80", domain, 3))
         daemons = {"b": ["d2:1", "d3:1"]}
         self.leadership = types.SimpleNamespace(
-            daemons_in=lambda d: daemons.get(d, []), clock_of=lambda relay: 500.0
+            daemons_in=lambda d: daemons.get(d, []),
+            clock_reading_of=lambda relay: 500.0,
         )
         self.answer, self.messages = Success({"results": ["done", "done"]}), []
         peers = types.SimpleNamespace(relay=self.relay_message)
@@ -144,7 +145,10 @@
     def relay_message(self, relay, message, timeout_ms):
         """Answer as a relay whose clock shows 9000 ms."""
         self.messages.append(message)
-        if message["clock_ms"] == 9000.0 or self.leadership.clock_of(relay) == 500.0:
+        if (
+            message["clock_ms"] == 9000.0
+            or self.leadership.clock_reading_of(relay) == 500.0
+        ):
             return self.answer
         return Success({"clock_ms": 9000.0})
 
@@ -177,7 +181,7 @@
         """Guards against keys that nobody renews while a reading is missing or old."""
         for known in (None, 100.0):
             self.messages.clear()
-            self.leadership.clock_of = lambda relay, known=known: known
+            self.leadership.clock_reading_of = lambda relay, known=known: known
             self.assertEqual(self.send(), [None, None])
             sent = [message["clock_ms"] for message in self.messages]
             self.assertEqual(sent, [known, 9000.0])
@@ -214,7 +218,7 @@
         self.assertNotEqual(self.relays.pick("s1"), first)
         self.send()
         self.assertEqual(self.relays.pick("s1"), "")
-        self.clock.advance(PASSED_OVER_MS + 1.0)
+        self.clock.advance(EXCLUSION_MS + 1.0)
         self.assertEqual(self.relays.pick("s1"), first)
 
 
