--- a/src/tarragonramp/roles/orders.py
+++ b/src/tarragonramp/roles/orders.py
@@ -1,25 +1,26 @@
-"""A caller's request on its way through the router."""
+"""A caller's request on its way through the fleet's router."""
 
 import attrs
 
 from ..errors import RequestError
 from ..meters import NOT_RUN, UNKNOWN
 
-__all__ = ["Order"]
+__all__ = ["RoutedRequest"]
 
-LEAST_RETRY_S = 0.02
-PATIENCE = 3.2
-"""Callers wait up to a third of the time that they have left; a little less is told."""
+MIN_RETRY_S = 0.02
+WAIT_DIVISOR = 3.2
+"""Callers wait for at most a third of their remaining time before they retry.
+
+Refusals name slightly less than a third."""
 
 
 @attrs.define
-class Order:
-    """A request, where it goes, and what has become of it.
+class RoutedRequest:
+    """A caller's request, its route, and the attempts to serve it.
 
     Parameters
     ----------
-    named : str
-        Its id.
+    request_id : str
     method, target : str
     headers : list of (str, str)
     body : bytes
@@ -27,17 +28,17 @@
     service : str
     key : int or None
     arrived_ms, until_ms : float
-        When its head was read, and until when it can be answered.
+        When its head was read, and its deadline.
     is_wanted : callable
-        Tells whether its caller still waits.
+        Returns whether its caller still waits.
     clock : Clock
     tried : list of str
-        Servers that it was sent to.
+        Servers to which it was sent.
     in_doubt : bool
         Whether one of them may have run it.
     """
 
-    named: str
+    request_id: str
     method: str
     target: str
     headers: list
@@ -53,16 +54,17 @@
     in_doubt: bool = False
 
     def refusal(self, status, reason, retry_after_s=None, **inputs):
-        """Return the error of a request that is not sent (again).
+        """Return the error for a request that is not sent, or not sent again.
 
-        "Not run" only if no earlier try may have run. The inputs are what decided it.
+        The outcome is "not run" only if no earlier attempt may have run. The inputs are
+        the values that led to the refusal.
         """
         if self.in_doubt:
             return RequestError(502, UNKNOWN, reason, None, inputs)
         return RequestError(status, NOT_RUN, reason, retry_after_s, inputs)
 
-    def refusal_for_now(self, reason, wanted_s, **inputs):
-        """Return the error that says to come back, within the time a caller waits."""
+    def retryable_refusal(self, reason, preferred_s, **inputs):
+        """Return the error that asks the caller to retry within its remaining time."""
         left_s = (self.until_ms - self.clock.now_ms()) / 1000.0
-        retry_s = max(LEAST_RETRY_S, min(wanted_s, left_s / PATIENCE))
+        retry_s = max(MIN_RETRY_S, min(preferred_s, left_s / WAIT_DIVISOR))
         return self.refusal(503, reason, retry_s, **inputs)
--- a/src/tarragonramp/roles/router.py
+++ b/src/tarragonramp/roles/router.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests on a fleet and brings back whole answers."""
+"""Serves callers' requests in a fleet by sending them to backend servers."""
 
 import collections
 import random
@@ -23,35 +23,39 @@
 from ..meters import ANSWERED, NOT_RUN, UNKNOWN
 from ..request import end_to_end_answer
 from ..retries import RetryBudget
-from .orders import Order
-from .owners import OWNER_GONE_RETRY_S, Owners
+from .orders import RoutedRequest
+from .owners import NO_OWNER_RETRY_S, OwnerResolver
 
 __all__ = ["Router"]
 
 NO_ROUTES_RETRY_S = 0.3
-COLD_RETRY_S = 0.5
-FULL_RETRY_S = 0.3
-SHED_RETRY_S = 0.2
-SHORTEST_TRY_MS = 20.0
-"""A request with less time left is not sent (again): no answer could come in time, and
-the server would work for nobody."""
-
-USED_RETRIES = 0.6
-"""Part that is used of the further sends that all daemons may add together. Load: a
-service that fails as a whole, while the number of daemons changes. Harm prevented: the
-daemons together sending more than the servers' owners allow."""
-
-LEAST_DAEMONS = 8
-"""As many daemons at least share what all may do together, before they know of each
-other."""
-
-KEPT_CONNECTIONS = 8
-"""Most connections to a server kept for later, and never more than the firm share: one
-that was borrowed is given back."""
+COLD_SERVER_RETRY_S = 0.5
+NO_CONNECTION_RETRY_S = 0.3
+REFUSED_RETRY_S = 0.2
+MIN_ATTEMPT_MS = 20.0
+"""A request with less time left is not sent, or not sent again.
+
+No response could arrive in time, and the server would do useless work."""
+
+RETRY_BUDGET_SHARE = 0.6
+"""Share that is used of the retries that all daemons may make together.
+
+The rest is a reserve: the number of daemons may change while a whole service fails, and
+the daemons together must not exceed what the servers' owners allow."""
+
+MIN_ASSUMED_DAEMONS = 8
+"""Limits for all daemons together are divided among at least this many.
+
+This covers the time before the daemons know of each other."""
+
+MAX_IDLE_CONNECTIONS = 8
+"""Most idle connections kept to a server, and never more than the fixed share.
+
+A connection beyond that share is returned after use."""
 
 CLOSING_STATUSES = frozenset((408, 413))
-FAILED_STATUS = 500
-SUCCESSES = range(200, 300)
+MIN_SERVER_ERROR_STATUS = 500
+SUCCESS_STATUSES = range(200, 300)
 
 
 @attrs.define(eq=False, repr=False)
@@ -68,6 +72,9 @@
     bounds : FleetBounds
     meter : RequestMeter
     clock : Clock
+    counts : collections.Counter
+        Failed attempts and refusals by service and reason, for the metrics.
+    owners : OwnerResolver
     """
 
     view: object
@@ -80,26 +87,26 @@
     clock: object
     counts: collections.Counter = attrs.Factory(collections.Counter)
     _budgets: dict = attrs.Factory(dict)
-    owners: Owners = attrs.field(init=False)
+    owners: OwnerResolver = attrs.field(init=False)
     _rng: random.Random = attrs.Factory(random.Random)
 
     def __attrs_post_init__(self):
-        """Look for owners in the same view."""
-        self.owners = Owners(self.view, self.clock)
+        """Create the owner resolver on the same view."""
+        self.owners = OwnerResolver(self.view, self.clock)
 
     def __call__(self, environ, start_response):
         """Serve one request of a caller."""
         times = self.meter.begin(environ.get(ARRIVED_KEY) or self.clock.now_ms())
-        outcome, named = UNKNOWN, ""
+        outcome, request_id = UNKNOWN, ""
         try:
             facts = self._read_facts(environ)
-            named = facts.request_id
+            request_id = facts.request_id
             answer = self._serve(environ, facts, times)
             outcome = ANSWERED
         except RequestError as error:
             outcome = error.outcome
-            self._log_refusal(named, error, times)
-            return self._refuse(start_response, error, named)
+            self._log_refusal(request_id, error, times)
+            return self._refuse(start_response, error, request_id)
         finally:
             self.meter.finish(times, outcome, self.clock.now_ms())
         headers = end_to_end_answer(answer)
@@ -122,8 +129,8 @@
         patience_ms = route.timeout_ms
         if facts.patience_ms is not None:
             patience_ms = min(patience_ms, facts.patience_ms)
-        order = Order(
-            named=facts.request_id,
+        request = RoutedRequest(
+            request_id=facts.request_id,
             method=environ["REQUEST_METHOD"],
             target=environ[TARGET_KEY],
             headers=environ[HEADERS_KEY],
@@ -136,151 +143,151 @@
             is_wanted=lambda: not caller_is_gone(environ),
             clock=self.clock,
         )
-        return self._deliver(order, times)
+        return self._deliver(request, times)
 
-    def _deliver(self, order, times):
-        """Send a request until it is answered or may not be sent again."""
-        budget = self._budget(order.service)
+    def _deliver(self, request, times):
+        """Send a request until it has a final response or may not be sent again."""
+        budget = self._budget(request.service)
         budget.earn()
         while True:
-            chosen = self._choose(order)
-            order.tried.append(chosen.server.name)
-            result, took_ms = self._exchange(order, chosen)
+            chosen = self._choose_server(request)
+            request.tried.append(chosen.server.name)
+            result, took_ms = self._exchange(request, chosen)
             times.service_ms += took_ms
             if is_successful(result):
                 answer, facts = result.unwrap()
-                if self._is_final(order, answer, facts, budget):
-                    if len(order.tried) > 1:
-                        self._log_served(order, answer)
+                if self._is_final(request, answer, facts, budget):
+                    if len(request.tried) > 1:
+                        self._log_served(request, answer)
                     return answer
                 continue
-            self._after_failure(order, chosen, result.failure(), budget)
+            self._handle_failure(request, chosen, result.failure(), budget)
 
     def _budget(self, service):
-        """Return this daemon's part of the further sends to a service."""
+        """Return this daemon's share of the further attempts at a service."""
         budget = self._budgets.get(service)
         if budget is None:
-            reserve = USED_RETRIES * self.bounds.retry_slack / self._n_daemons()
-            share = USED_RETRIES * self.bounds.retry_ratio
+            reserve = RETRY_BUDGET_SHARE * self.bounds.retry_slack / self._n_daemons()
+            share = RETRY_BUDGET_SHARE * self.bounds.retry_ratio
             budget = self._budgets[service] = RetryBudget(share, max(1.0, reserve))
         return budget
 
     def _n_daemons(self):
-        return max(LEAST_DAEMONS, len(self.view.daemons))
+        return max(MIN_ASSUMED_DAEMONS, len(self.view.daemons))
 
-    def _choose(self, order):
+    def _choose_server(self, request):
         now_ms = self.clock.now_ms()
-        left_ms = order.until_ms - now_ms
-        if left_ms < SHORTEST_TRY_MS:
-            raise order.refusal(503, "no time left", 0.0)
-        if self.view.service(order.service).divided:
-            servers = [self._owner(order)]
+        left_ms = request.until_ms - now_ms
+        if left_ms < MIN_ATTEMPT_MS:
+            raise request.refusal(503, "no time left", 0.0)
+        if self.view.service(request.service).divided:
+            servers = [self._owner(request)]
             now_ms = self.clock.now_ms()
         else:
-            servers = self._candidates(order)
+            servers = self._candidates(request)
         wanted = Wanted(
-            order.route.name,
-            order.until_ms - now_ms,
-            order.arrived_ms + order.route.target_ms - now_ms,
-            self.view.routes.is_urgent(order.route),
+            request.route.name,
+            request.until_ms - now_ms,
+            request.arrived_ms + request.route.target_ms - now_ms,
+            self.view.routes.is_urgent(request.route),
         )
         choice = self.loads.choose(servers, wanted, now_ms)
         if isinstance(choice, Refused):
-            self._note_unmet(order)
-            raise order.refusal_for_now(
+            self._count_refused_work(request)
+            raise request.retryable_refusal(
                 choice.reason, choice.retry_after_s, **choice.inputs
             )
-        self._take_cold_share(order, choice.server, now_ms)
+        self._take_cold_share(request, choice.server, now_ms)
         return choice
 
-    def _note_unmet(self, order):
+    def _count_refused_work(self, request):
         """Count the work of a refused request as if its owner had done it.
 
-        Load: keys so busy that most requests for them are refused, here or by their
-        owner. Harm prevented: the owner looking no busier than what it can do at most,
-        or idle if it refuses without need, so that too few of its keys move, or more
-        come.
+        When keys are so busy that most requests for them are refused, here or by their
+        owner, the owner would otherwise look no busier than it can be at most, or even
+        idle. Too few of its keys would move away, or more keys would move to it.
         """
-        if self.view.service(order.service).divided:
-            took_ms = self.loads.work_ms(order.route.name)
-            self.view.work.note(order.service, order.key, took_ms)
+        if self.view.service(request.service).divided:
+            took_ms = self.loads.work_ms(request.route.name)
+            self.view.work.note(request.service, request.key, took_ms)
 
-    def _candidates(self, order):
-        """Return the servers of a shared service that may get a request now.
+    def _candidates(self, request):
+        """Return the servers of a shared service that may be sent a request now.
 
-        Cold ones only if there are no others: what they bear is little.
+        Servers in a cold start only if there are no others, since they bear little
+        load.
         """
         directory = self.view.directory
-        servers = directory.usable(order.service)
-        untried = [s for s in servers if s.name not in order.tried]
-        room = [s for s in untried if self._has_connections(s)]
-        warm = [s for s in room if not directory.is_cold(s.name)]
+        servers = directory.usable(request.service)
+        untried_servers = [s for s in servers if s.name not in request.tried]
+        connectable = [s for s in untried_servers if self._has_free_connection(s)]
+        warm = [s for s in connectable if not directory.is_cold(s.name)]
         if not servers:
             reason = "service has no servers"
-        elif not untried:
+        elif not untried_servers:
             reason = "all servers tried"
         else:
             reason = "no connection left"
-        if not room:
-            raise order.refusal_for_now(reason, FULL_RETRY_S)
-        return warm or room
+        if not connectable:
+            raise request.retryable_refusal(reason, NO_CONNECTION_RETRY_S)
+        return warm or connectable
 
-    def _owner(self, order):
-        if order.key is None:
+    def _owner(self, request):
+        if request.key is None:
             raise RequestError(400, NOT_RUN, "the request carries no key")
-        server = self.owners.find(order)
-        if not self._has_connections(server):
-            raise order.refusal_for_now("no connection left", FULL_RETRY_S)
+        server = self.owners.find(request)
+        if not self._has_free_connection(server):
+            raise request.retryable_refusal("no connection left", NO_CONNECTION_RETRY_S)
         return server
 
-    def _has_connections(self, server):
+    def _has_free_connection(self, server):
         limit = self.view.service(server.service).connections
         own = self.loads.in_flight(server.name)
         others = self.loads.told_in_flight(server.name, self.clock.now_ms())
         return may_connect(limit, self._n_daemons(), own, others)
 
-    def _take_cold_share(self, order, server, now_ms):
+    def _take_cold_share(self, request, server, now_ms):
         if not self.view.directory.is_cold(server.name):
             return
-        per_s = self.view.service(order.service).cold_per_s
-        bound = per_s * self.bounds.cold_burst_factor + self.bounds.cold_slack
-        # One that has only heard of itself does not know how many there are.
+        cold_rate_per_s = self.view.service(request.service).cold_per_s
+        bound = cold_rate_per_s * self.bounds.cold_burst_factor + self.bounds.cold_slack
+        # A daemon that knows only itself does not know how many there are.
         known = self.view.daemons if len(self.view.daemons) > 1 else ()
         if not self.cold.take(server.name, bound, known, now_ms):
-            self._note_unmet(order)
-            raise order.refusal_for_now("server is cold", COLD_RETRY_S)
+            self._count_refused_work(request)
+            raise request.retryable_refusal("server is cold", COLD_SERVER_RETRY_S)
 
-    def _exchange(self, order, chosen):
-        """Send a request to a server once; return the result and how long it took."""
+    def _exchange(self, request, chosen):
+        """Send a request to a server once; return the result and the time it took."""
         server, began_ms = chosen.server, self.clock.now_ms()
-        left_ms = order.until_ms - began_ms
+        left_ms = request.until_ms - began_ms
         missing_ms = self.view.directory.missing_ms(server.name)
         if missing_ms is not None:
-            self._log_missing(order, server, missing_ms)
-        headers = self.dialect.server_headers(order.headers, server.name, left_ms)
+            self._log_missing(request, server, missing_ms)
+        headers = self.dialect.server_headers(request.headers, server.name, left_ms)
         pool = self.pools.at(server.address)
         limit = self.view.service(server.service).connections
         share = connection_share(limit, self._n_daemons())
-        pool.max_idle = min(KEPT_CONNECTIONS, share)
+        pool.max_idle = min(MAX_IDLE_CONNECTIONS, share)
         self.loads.sent(chosen)
         try:
             result = pool.exchange(
-                order.method,
-                order.target,
+                request.method,
+                request.target,
                 headers,
-                order.body,
+                request.body,
                 left_ms,
-                order.is_wanted,
+                request.is_wanted,
             )
         except BaseException:
             self.loads.cancelled(chosen)
             raise
         now_ms = self.clock.now_ms()
         took_ms = now_ms - began_ms
-        if self.view.service(order.service).divided:
-            self.view.work.note(order.service, order.key, took_ms)
+        if self.view.service(request.service).divided:
+            self.view.work.note(request.service, request.key, took_ms)
         if not is_successful(result):
-            self._note_failure(order, chosen, result.failure(), now_ms)
+            self._record_failure(request, chosen, result.failure(), now_ms)
             return result, took_ms
         result = result.map(lambda answer: (answer, self.dialect.read_answer(answer)))
         _, facts = result.unwrap()
@@ -290,123 +297,126 @@
             self.loads.answered(chosen, took_ms, facts.load, now_ms)
         return result, took_ms
 
-    def _note_failure(self, order, chosen, error, now_ms):
-        if isinstance(error, AbandonedError) or now_ms >= order.until_ms:
+    def _record_failure(self, request, chosen, error, now_ms):
+        if isinstance(error, AbandonedError) or now_ms >= request.until_ms:
             self.loads.cancelled(chosen)
             return
         server = chosen.server
         at_connect = isinstance(error, NotSentError)
         self.loads.failed(chosen, now_ms, at_connect)
         if at_connect and "refused" in str(error):
-            # Nothing listens there: the server has ended, and will be cold if it
+            # No process listens there: the server has ended. It will be cold if it
             # starts again, before its entry says so.
             warmup_ms = self.view.service(server.service).warmup_ms
             self.view.directory.note_cold(server.name, warmup_ms)
 
-    def _is_final(self, order, answer, facts, budget):
-        """Tell whether an answer goes to the caller, or another try is to come."""
+    def _is_final(self, request, answer, facts, budget):
+        """Return whether a response goes to the caller, rather than being retried."""
         if facts.not_run:
-            self._after_refusal(order, facts, budget)
+            self._handle_server_refusal(request, facts, budget)
             return False
-        if answer.status in SUCCESSES and not facts.genuine:
-            self._log_try(order, "answer without the server's mark")
-            order.in_doubt = True
-            self._check_retry(order, budget)
+        if answer.status in SUCCESS_STATUSES and not facts.genuine:
+            self._log_failed_attempt(request, "answer without the server's mark")
+            request.in_doubt = True
+            self._check_retry(request, budget)
             return False
-        if answer.status < FAILED_STATUS or not order.route.idempotent:
+        if answer.status < MIN_SERVER_ERROR_STATUS or not request.route.idempotent:
             return True
-        order.in_doubt = True
-        if len(order.tried) >= order.route.attempts or not self._has_time(order):
+        request.in_doubt = True
+        if len(request.tried) >= request.route.attempts or not self._has_time(request):
             return True
         if not budget.spend():
             return True
-        self._log_try(order, f"server answered {answer.status}")
+        self._log_failed_attempt(request, f"server answered {answer.status}")
         return False
 
-    def _after_refusal(self, order, facts, budget):
-        """Return if a request that a server did not run may be sent again."""
-        self._log_try(order, "misdirected" if facts.misdirected else "shed")
+    def _handle_server_refusal(self, request, facts, budget):
+        """Raise unless a request that a server did not run may be sent again."""
+        self._log_failed_attempt(
+            request, "misdirected" if facts.misdirected else "shed"
+        )
         if not facts.misdirected:
-            self._note_unmet(order)
-        if facts.misdirected and self.view.service(order.service).divided:
-            self.owners.await_next(order)
-        if len(order.tried) > order.route.attempts or not budget.spend():
+            self._count_refused_work(request)
+        if facts.misdirected and self.view.service(request.service).divided:
+            self.owners.await_new_owner(request)
+        if len(request.tried) > request.route.attempts or not budget.spend():
             reason = "owner changes" if facts.misdirected else "server is busy"
-            raise order.refusal_for_now(reason, SHED_RETRY_S)
+            raise request.retryable_refusal(reason, REFUSED_RETRY_S)
 
-    def _after_failure(self, order, chosen, error, budget):
-        """Return if a request may be sent again after a failed exchange; else raise.
+    def _handle_failure(self, request, chosen, error, budget):
+        """Raise unless a request may be sent again after a failed exchange.
 
-        A reused connection may have been closed by the server just before the send:
-        the failure then looks as if nothing had arrived, but it looks the same if the
-        server died after running the request. So only an exchange of which no byte
-        left counts as not run.
+        A reused connection may have been closed by the server just before the send.
+        That failure cannot be distinguished from a server that died after it ran the
+        request. Only an exchange of which no byte was sent therefore counts as not run.
         """
         if isinstance(error, AbandonedError):
             raise RequestError(499, UNKNOWN, "caller has gone")
-        self._log_try(order, str(error))
+        self._log_failed_attempt(request, str(error))
         if isinstance(error, NotSentError):
-            if self.view.service(order.service).divided or len(order.tried) > 3:
-                raise order.refusal_for_now("server not reached", OWNER_GONE_RETRY_S)
+            if self.view.service(request.service).divided or len(request.tried) > 3:
+                raise request.retryable_refusal("server not reached", NO_OWNER_RETRY_S)
             return
-        order.in_doubt = True
-        if self.clock.now_ms() >= order.until_ms:
+        request.in_doubt = True
+        if self.clock.now_ms() >= request.until_ms:
             raise RequestError(504, UNKNOWN, "no whole answer in time")
-        self._check_retry(order, budget)
+        self._check_retry(request, budget)
 
-    def _check_retry(self, order, budget):
-        """Raise unless a request whose outcome is unknown may be sent again."""
-        may_repeat = order.route.idempotent and len(order.tried) < order.route.attempts
-        if not may_repeat or not self._has_time(order) or not budget.spend():
+    def _check_retry(self, request, budget):
+        """Raise unless a request with unknown outcome may be sent again."""
+        may_repeat = (
+            request.route.idempotent and len(request.tried) < request.route.attempts
+        )
+        if not may_repeat or not self._has_time(request) or not budget.spend():
             raise RequestError(502, UNKNOWN, "no whole answer from the server")
 
-    def _has_time(self, order):
-        left_ms = order.until_ms - self.clock.now_ms()
-        return left_ms > self.loads.work_ms(order.route.name) / 2
+    def _has_time(self, request):
+        left_ms = request.until_ms - self.clock.now_ms()
+        return left_ms > self.loads.work_ms(request.route.name) / 2
 
-    def _log_try(self, order, reason):
-        self.counts[order.service, "try failed"] += 1
+    def _log_failed_attempt(self, request, reason):
+        self.counts[request.service, "try failed"] += 1
         log_event(
             "try-failed",
-            id=order.named,
-            service=order.service,
-            server=order.tried[-1],
-            key=order.key,
-            tries=len(order.tried),
-            left_ms=round(order.until_ms - self.clock.now_ms()),
+            id=request.request_id,
+            service=request.service,
+            server=request.tried[-1],
+            key=request.key,
+            tries=len(request.tried),
+            left_ms=round(request.until_ms - self.clock.now_ms()),
             reason=reason,
         )
 
-    def _log_missing(self, order, server, missing_ms):
-        """Tell that a request goes to a server whose entry may come back."""
+    def _log_missing(self, request, server, missing_ms):
+        """Log that a request goes to a server whose missing entry may come back."""
         log_event(
             "sent-to-missing",
-            id=order.named,
-            service=order.service,
+            id=request.request_id,
+            service=request.service,
             server=server.name,
             missing_ms=round(missing_ms),
         )
 
-    def _log_served(self, order, answer):
-        """Tell how a request with failed tries ended; others are only counted."""
+    def _log_served(self, request, answer):
+        """Log how a request with failed attempts ended; others are only counted."""
         log_event(
             "request-served",
-            id=order.named,
-            service=order.service,
-            server=order.tried[-1],
-            tries=len(order.tried),
+            id=request.request_id,
+            service=request.service,
+            server=request.tried[-1],
+            tries=len(request.tried),
             status=answer.status,
-            took_ms=round(self.clock.now_ms() - order.arrived_ms),
+            took_ms=round(self.clock.now_ms() - request.arrived_ms),
         )
 
-    def _log_refusal(self, named, error, times):
+    def _log_refusal(self, request_id, error, times):
         self.counts[times.service, error.reason] += 1
         if error.status == 499:
             return
         log_event(
             "request-refused",
             level=logbook.INFO,
-            id=named,
+            id=request_id,
             service=times.service,
             status=error.status,
             outcome=error.outcome,
@@ -416,8 +426,8 @@
             **error.inputs,
         )
 
-    def _refuse(self, start_response, error, named):
-        headers = self.dialect.refusal_headers(named, error.retry_after_s)
+    def _refuse(self, start_response, error, request_id):
+        headers = self.dialect.refusal_headers(request_id, error.retry_after_s)
         if error.status in CLOSING_STATUSES:
             headers.append(("Connection", "close"))
         return error_reply(start_response, error, headers)
--- a/src/tarragonramp/roles/tasks.py
+++ b/src/tarragonramp/roles/tasks.py
@@ -9,29 +9,30 @@
 
 __all__ = ["keep_running", "task_failures"]
 
-FIRST_RESTART_MS = 200
-LAST_RESTART_MS = 5000
+MIN_RESTART_DELAY_MS = 200
+MAX_RESTART_DELAY_MS = 5000
 
 _failures = {}
 
 
 def task_failures():
-    """Return how often each task of this process has failed, by its name."""
+    """Return how often each task of this process has failed, by task name."""
     return dict(_failures)
 
 
 def keep_running(task):
-    """Start an endless task, and start it again whenever it fails.
+    """Start an endless task, and restart it whenever it fails.
 
-    Guards against an unforeseen error in one round of a role: unseen, it would leave
-    a daemon that serves but renews no grant. It shows as ``event=task-failed`` and in
-    the metric ``tasks.failures``. A task that goes on failing is started less often,
-    so that it does not take the time of the others.
+    This guards against an unforeseen error in one round of a role, which would
+    otherwise go unnoticed and leave a daemon that serves requests but renews no grants.
+    Failures are logged as ``event=task-failed`` and counted in the metric
+    ``tasks.failures``. A task that keeps failing is restarted at longer intervals, so
+    that it does not take time from the others.
 
     Parameters
     ----------
     task : callable
-        Without arguments.
+        Called without arguments.
 
     Returns
     -------
@@ -41,7 +42,7 @@
     _failures.setdefault(name, 0)
 
     def run():
-        restart_ms = FIRST_RESTART_MS
+        restart_delay_ms = MIN_RESTART_DELAY_MS
         while True:
             began_s = time.monotonic()
             try:
@@ -51,9 +52,9 @@
                 _failures[name] += 1
                 log_event("task-failed", level=logbook.ERROR, task=name, error=error)
             ran_ms = (time.monotonic() - began_s) * 1000.0
-            if ran_ms > LAST_RESTART_MS:
-                restart_ms = FIRST_RESTART_MS
-            gevent.sleep(restart_ms / 1000.0)
-            restart_ms = min(restart_ms * 2, LAST_RESTART_MS)
+            if ran_ms > MAX_RESTART_DELAY_MS:
+                restart_delay_ms = MIN_RESTART_DELAY_MS
+            gevent.sleep(restart_delay_ms / 1000.0)
+            restart_delay_ms = min(restart_delay_ms * 2, MAX_RESTART_DELAY_MS)
 
     return gevent.spawn(run)
