--- a/src/tarragonramp/roles/leadership.py
+++ b/src/tarragonramp/roles/leadership.py
@@ -130,7 +130,7 @@
     stopping: bool = False
     inherited: Inherited = Inherited()
     doubts: object = Inherited
-    _heat_counts: HeatCounts = attrs.Factory(HeatCounts)
+    _key_loads: HeatCounts = attrs.Factory(HeatCounts)
     _reported_loads: dict = attrs.Factory(dict)
     _last_heard_ms: dict = attrs.Factory(dict)
     _domains: dict = attrs.Factory(dict)
@@ -244,7 +244,7 @@
         self._note_daemon(name, address)
         self._domains[name] = message.get("domain", "")
         self.note_clock(address, message.get("clock_ms"))
-        self._heat_counts.add(message.get("heat", {}), self.clock.now_ms())
+        self._key_loads.add(message.get("heat", {}), self.clock.now_ms())
         self._reported_loads[name] = message.get("loads", {}), self.clock.now_ms()
         self.follower.compare_digests(name, message.get("digest", {}))
         versions = message["versions"]
@@ -394,7 +394,7 @@
         return {"boot_id": self.boot_id, "leads": leads, "doubts": doubts}
 
     def heat_of(self, service):
-        return self._heat_counts.heat_of(service, self.clock.now_ms())
+        return self._key_loads.heat_of(service, self.clock.now_ms())
 
     def _note_daemon(self, name, address):
         now_ms = self.clock.now_ms()
@@ -417,7 +417,7 @@
         if is_successful(result):
             self.standing.confirmed(record, result.unwrap().version, sent_ms)
             now_ms = self.clock.now_ms()
-            self._heat_counts.add(self.view.work.take(self.view.tables), now_ms)
+            self._key_loads.add(self.view.work.take(self.view.tables), now_ms)
             self.loads.take_told(self._loads_except(self.name, now_ms), now_ms)
             return
         error = result.failure()
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -1,4 +1,4 @@
-"""What daemons of a fleet tell each other of the store, in one process."""
+"""Updates that the daemons of a fleet pass on to each other, in one process."""
 
 import itertools
 import json
@@ -17,7 +17,7 @@
 
 
 def table_at(version):
-    """Return a table in which a range more has moved with each version from 10 on."""
+    """Return a table in which one more range has moved with each version from 10."""
     table = first_deal("parts", [Candidate(f"s{i}", 1) for i in range(60)])
     moved = [table.ranges[at].moved_to("s0", 1) for at in range(version - 10)]
     return table.with_ranges(moved)
@@ -30,16 +30,16 @@
 
 
 def read(follower, version):
-    """Let a follower take in all tables as the store has them at a version."""
+    """Let a follower apply all tables as stored at a version."""
     row = ["parts", version, table_at(version).to_spec()]
     news = {"version": version, "names": ["parts"], "objects": [row]}
     follower.take_news({RANGES: news})
 
 
-class TroubleTest(unittest.TestCase):
-    """The store was in trouble, and daemons tell each other."""
+class StoreFailureTest(unittest.TestCase):
+    """The store failed, and daemons report that to each other."""
 
-    def test_trouble_that_daemons_tell_each_other_of_ends(self):
+    def test_reported_store_failure_is_forgotten(self):
         clock = ManualClock(10_000.0)
         one, other = (
             Follower(FleetView(clock), None, None, None, clock) for _ in range(2)
@@ -59,21 +59,21 @@
 
 
 class Peer:
-    """Tells what another follower knows, and notes who was asked."""
+    """Returns the updates of another follower, and records the addresses asked."""
 
     def __init__(self, follower):
         self.follower, self.asked = follower, []
 
     def news(self, kind, since_version, address=""):
-        """Return what the other knows beyond a version."""
+        """Return the other follower's updates since a version."""
         self.asked.append(address)
         return self.follower.news_since({kind: since_version})
 
 
-class MissingTest(unittest.TestCase):
-    """A server's entry is gone after trouble, and daemons tell each other."""
+class MissingServerTest(unittest.TestCase):
+    """A server's entry is missing after a store failure."""
 
-    def test_relays_do_not_prolong_the_use_of_a_missing_server(self):
+    def test_passing_on_does_not_prolong_use_of_missing_server(self):
         clock = ManualClock(10_000.0)
         ports = types.SimpleNamespace(read_server=read_server)
         chain = [Follower(FleetView(clock), None, None, ports, clock) for _ in range(3)]
@@ -83,9 +83,9 @@
             follower.take_news({SERVER: listed})
         chain[0].record_store_failure()
         chain[0].take_news({SERVER: {"version": 7, "names": [], "objects": []}})
-        for teller, hearer in itertools.pairwise(chain):
+        for sender, receiver in itertools.pairwise(chain):
             clock.advance(500.0)
-            hearer.take_news(teller.news_since(hearer.changed))
+            receiver.take_news(sender.news_since(receiver.changed))
         last = chain[-1].view.directory
         self.assertEqual(len(last.usable("desk")), 1)
         clock.advance(MISSING_USE_MS - 1000.0)
@@ -97,62 +97,66 @@
     return Success(BackendServer(item.name, 1, "desk", "10.0.0.1:80", "a", 1))
 
 
-class NewsOfTablesTest(unittest.TestCase):
-    """A leader, and a daemon that leans on it."""
+class TableUpdatesTest(unittest.TestCase):
+    """A leader, and a daemon that follows it."""
 
     def setUp(self):
         self.leader, self.daemon = new_follower(), new_follower()
         read(self.leader, 10)
-        self.tell()
+        self.pass_on_updates()
 
-    def tell(self):
-        """Pass on what is new; return how many bytes that took."""
+    def pass_on_updates(self):
+        """Pass on the leader's updates; return their size in bytes."""
         news = self.leader.news_since(self.daemon.changed)
         self.daemon.take_news(json.loads(json.dumps(news)))
         return len(json.dumps(news))
 
-    def check_same(self):
-        """Expect that both know the same table, also in the form that is passed on."""
-        mine, theirs = self.daemon.view, self.leader.view
-        self.assertEqual(mine.tables["parts"].ranges, theirs.tables["parts"].ranges)
-        self.assertEqual(mine.digest(), theirs.digest())
+    def assert_same_table(self):
+        """Check that both have the same table, also in the form that is passed on."""
+        own_view, leader_view = self.daemon.view, self.leader.view
+        self.assertEqual(
+            own_view.tables["parts"].ranges, leader_view.tables["parts"].ranges
+        )
+        self.assertEqual(own_view.digest(), leader_view.digest())
         spec = self.daemon.objects[RANGES]["parts"].spec
-        self.assertEqual(RangeTable.from_spec(spec).ranges, mine.tables["parts"].ranges)
+        self.assertEqual(
+            RangeTable.from_spec(spec).ranges, own_view.tables["parts"].ranges
+        )
 
-    def test_only_the_ranges_that_moved_are_told(self):
+    def test_updates_contain_only_moved_ranges(self):
         whole = len(json.dumps(self.leader.news_since({})))
         read(self.leader, 12)
-        self.assertLess(self.tell(), whole / 10)
-        self.check_same()
+        self.assertLess(self.pass_on_updates(), whole / 10)
+        self.assert_same_table()
         read(self.leader, 13)
         read(self.leader, 17)
-        self.assertLess(self.tell(), whole / 10)
-        self.check_same()
+        self.assertLess(self.pass_on_updates(), whole / 10)
+        self.assert_same_table()
 
-    def test_who_has_another_version_than_the_leader_thinks_is_told_everything(self):
-        """The store told a daemon of a version that the leader never saw.
+    def test_unexpected_version_causes_full_update(self):
+        """The store gave a daemon a version that the leader never read.
 
-        Its changes would be laid over the wrong table: keys sent to old owners.
+        Changes would be applied to the wrong table, and requests sent to old owners.
         """
         read(self.leader, 12)
         read(self.daemon, 11)
-        self.tell()
+        self.pass_on_updates()
         self.assertEqual(self.daemon.view.table_version("parts"), 11)
-        self.tell()
-        self.check_same()
+        self.pass_on_updates()
+        self.assert_same_table()
 
-    def test_a_new_leader_passes_on_what_it_was_told(self):
+    def test_received_updates_are_passed_on(self):
         read(self.leader, 12)
-        self.tell()
+        self.pass_on_updates()
         third = new_follower()
         third.take_news(self.daemon.news_since({}))
         read(self.leader, 14)
-        self.tell()
+        self.pass_on_updates()
         third.take_news(self.daemon.news_since(third.changed))
         self.assertEqual(third.view.table_version("parts"), 14)
-        self.check_same()
+        self.assert_same_table()
 
-    def test_only_what_a_peer_has_read_beyond_is_asked_for(self):
+    def test_catch_up_only_with_newer_peer(self):
         read(self.leader, 12)
         self.daemon.peers = Peer(self.leader)
         self.daemon.catch_up("d1:1", {RANGES: 10})
@@ -162,9 +166,9 @@
             self.daemon.catch_up("d1:1", self.leader.changed)
         gevent.sleep(0)
         self.assertEqual(self.daemon.peers.asked, ["d1:1"])
-        self.check_same()
+        self.assert_same_table()
 
-    def test_a_peer_that_has_only_read_later_is_asked_once(self):
+    def test_peer_without_newer_objects_is_asked_once(self):
         self.leader.changed[RANGES] = 15
         self.daemon.peers = Peer(self.leader)
         for _ in range(3):
--- a/tests/test_granter.py
+++ b/tests/test_granter.py
@@ -1,7 +1,7 @@
-"""Keys move only when the earlier owner has let go, with servers that are scripted.
+"""Keys move only after the earlier owner has released them; servers are scripted.
 
-The store is a dict and the clock stands until a test moves it; only the short pauses
-between tries are real.
+The store is a dict and the clock is moved by the tests; only the short pauses between
+attempts are real.
 """
 
 import types
@@ -40,30 +40,30 @@
 
 TIMING = LeaseTiming()
 FENCE = fence_token(1, 1, 0)
-SILENT = Failure(UnansweredError("no answer"))
-GONE = Failure(NotSentError("refused"))
+UNANSWERED = Failure(UnansweredError("no answer"))
+REFUSED = Failure(NotSentError("refused"))
 UNCONNECTED = Failure(NoConnectionError("none is open"))
 
 
 class Servers:
-    """Servers that note what they are told and answer as a test says."""
+    """Servers that record the calls they get and respond as a test defines."""
 
     def __init__(self):
         self.calls, self.answers, self.lost = [], {}, False
         self.bounds = []
 
     def has_lost(self, address):
-        """Tell whether the kept connection was closed."""
+        """Return whether the kept connection was closed."""
         return self.lost
 
     def grant(self, server, address, first, last, token, *rest, **bounds):
-        """Note a grant."""
+        """Record a grant."""
         self.calls.append(("grant", server, token))
         self.bounds.append(bounds)
         return self.answers.get(("grant", server), Success(None))
 
     def release(self, server, address, first, last, token, timeout_ms):
-        """Note a release."""
+        """Record a release."""
         self.calls.append(("release", server, token))
         return self.answers.get(("release", server), Success("handover"))
 
@@ -103,26 +103,26 @@
         self.tasks = []
         self.addCleanup(lambda: gevent.killall(self.tasks))
 
-    def own(self, owner="old", token=1, life=1):
-        """Give all keys to a server, as the store says."""
+    def assign_all(self, owner="old", token=1, life=1):
+        """Assign all keys to a server, in the store and in the leader's view."""
         item = KeyRange(0, N_KEYS - 1, owner, life, token)
         table = RangeTable("parts", (item,), {owner: f"{owner}:80"})
         stored = self.store.put("ramp-ranges", "parts", table.to_spec(), 0).unwrap()
         self.view.take_table(table, stored.version)
 
-    def list_servers(self, *servers):
-        """Make servers known to the store and the leader."""
+    def register(self, *servers):
+        """Add servers to the store and to the leader's view."""
         for item in servers:
             self.view.directory.take(item)
             self.store.objects["server", item.name] = Stored("server", "", 1, item)
 
-    def let_others_stop(self, in_ms):
-        """Let an earlier leader of which nothing is known stop after some time."""
+    def set_previous_leader_stop(self, in_ms):
+        """Let a previous leader with unknown grants stop after some time."""
         stopped_ms = self.clock.now_ms() + in_ms
         self.leader.inherited = Inherited(stopped_ms, stopped_ms + LATE_GRANT_MS)
 
-    def start(self):
-        """Let the leader work."""
+    def start_leader(self):
+        """Start the leader's task."""
         self.tasks.append(gevent.spawn(self.granter.run))
 
     def wait(self, condition, timeout_s=3.0):
@@ -141,15 +141,15 @@
         ]
 
     def releases_of(self, name):
-        """Return the tokens of the releases that a server was asked for."""
+        """Return the tokens of the releases that a server got."""
         return [
             t for kind, n, t in self.servers.calls if (kind, n) == ("release", name)
         ]
 
-    def test_a_living_owner_is_released_before_the_next_gets_its_keys(self):
-        self.own()
-        self.list_servers(attrs.evolve(server("old"), draining=True), server("new"))
-        self.start()
+    def test_running_owner_is_released_before_new_owner_is_granted(self):
+        self.assign_all()
+        self.register(attrs.evolve(server("old"), draining=True), server("new"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
         names = [(kind, name) for kind, name, _ in self.servers.calls]
         self.assertIn(("release", "old"), names)
@@ -158,33 +158,33 @@
         settled = self.wait(lambda: not self.view.tables["parts"].find(0).is_moving)
         self.assertTrue(settled)
 
-    def test_the_next_owner_is_granted_only_what_the_store_calls_free(self):
-        """All daemons are killed while keys move, some of which have been granted.
+    def test_new_owner_is_granted_only_ranges_stored_as_free(self):
+        """All daemons are killed while keys move, after some of them have been granted.
 
-        The store did not tell which, so the new leader fenced the earlier owners of all
-        of them: under tokens below those of the next owners, which held the keys.
+        If the store did not record which, a new leader would fence the earlier owners
+        of all of them, with tokens below those of the new owners, which hold the keys.
         """
-        self.own()
-        self.list_servers(attrs.evolve(server("old"), draining=True), server("new"))
+        self.assign_all()
+        self.register(attrs.evolve(server("old"), draining=True), server("new"))
         grant, seen = self.servers.grant, []
 
-        def grant_and_look(name, *arguments, **bounds):
+        def grant_and_check(name, *arguments, **bounds):
             stored = self.store.objects["ramp-ranges", "parts"].spec
             table = RangeTable.from_spec(stored)
             seen.append((name, table.find(0).is_moving))
             return grant(name, *arguments, **bounds)
 
-        self.servers.grant = grant_and_look
-        self.start()
+        self.servers.grant = grant_and_check
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
         self.assertNotIn(("new", True), seen)
 
-    def test_a_silent_owner_keeps_its_keys_until_time_proves_their_end(self):
-        self.own()
-        self.list_servers(server("old"), server("new"))
-        self.start()
+    def test_unresponsive_owner_keeps_keys_until_grant_expires(self):
+        self.assign_all()
+        self.register(server("old"), server("new"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
-        self.servers.answers |= {("grant", "old"): GONE, ("release", "old"): GONE}
+        self.servers.answers |= {("grant", "old"): REFUSED, ("release", "old"): REFUSED}
         self.view.directory.lose("old")
         self.assertFalse(self.wait(lambda: self.grants_to("new"), 0.7))
         self.clock.advance(TIMING.hold_ms)
@@ -192,86 +192,86 @@
         self.clock.advance(TIMING.longest_hold_ms)
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
 
-    def test_an_unanswered_grant_is_waited_out_also_if_its_server_is_cut_off(self):
-        """A failure domain is cut off while its servers carry grants out late.
+    def test_unanswered_grant_to_cut_off_server_must_expire_first(self):
+        """A failure domain is cut off while its servers carry out grants late.
 
-        Its server took a grant and could not be reached for longer than the hold; its
-        keys moved, and then it carried the grant out.
+        A server received a grant and was unreachable for longer than the hold time; it
+        carried the grant out after its keys had moved.
         """
-        self.own()
-        self.list_servers(server("old"), server("new"))
-        self.servers.answers["grant", "old"] = SILENT
-        self.start()
+        self.assign_all()
+        self.register(server("old"), server("new"))
+        self.servers.answers["grant", "old"] = UNANSWERED
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
-        self.servers.answers |= {("grant", "old"): GONE, ("release", "old"): GONE}
+        self.servers.answers |= {("grant", "old"): REFUSED, ("release", "old"): REFUSED}
         self.view.directory.lose("old")
         self.clock.advance(TIMING.longest_hold_ms + 100.0)
         self.assertFalse(self.wait(lambda: self.grants_to("new"), 0.7))
         self.clock.advance(LATE_GRANT_MS)
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
 
-    def test_a_grant_under_way_is_no_proof(self):
-        """A range moves on while the first grant to its owner has no answer yet.
+    def test_grant_in_flight_does_not_count_as_expired(self):
+        """A range moves on while the first grant to its owner has no response yet.
 
-        Nothing was noted of that grant before its answer: time seemed to have proved
-        long ago that the owner held nothing. The next one had the keys, and then the
-        server carried the grant out.
+        If a grant were recorded only with its response, the owner would seem to hold
+        nothing. The server could carry the grant out after the next owner got the keys.
         """
-        self.own()
-        self.list_servers(attrs.evolve(server("old"), draining=True), server("new"))
+        self.assign_all()
+        self.register(attrs.evolve(server("old"), draining=True), server("new"))
         grant = self.servers.grant
 
         def grant_slowly(name, *arguments, **bounds):
             result = grant(name, *arguments, **bounds)
             if name == "new":
                 gevent.sleep(1.5)
-                return SILENT
+                return UNANSWERED
             return result
 
         self.servers.grant = grant_slowly
-        self.servers.answers["release", "new"] = GONE
-        self.start()
+        self.servers.answers["release", "new"] = REFUSED
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
-        self.list_servers(server("third"))
+        self.register(server("third"))
         self.view.directory.lose("new")
         self.assertFalse(self.wait(lambda: self.grants_to("third"), 1.2))
 
-    def start_with_a_silent_renewal(self):
-        """Let the leader renew a range without an answer; later ones are answered."""
-        self.own()
-        self.list_servers(server("old"), server("new"))
-        self.servers.answers["grant", "old"] = SILENT
-        self.start()
+    def start_with_unanswered_renewal(self):
+        """Let one renewal of the leader have no response; later calls are answered."""
+        self.assign_all()
+        self.register(server("old"), server("new"))
+        self.servers.answers["grant", "old"] = UNANSWERED
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.servers.answers.clear()
 
-    def test_a_late_grant_is_fenced_before_the_release(self):
-        """A renewal gets no answer, and the server is applied it seconds later.
+    def test_unanswered_grant_is_fenced_before_release(self):
+        """A renewal has no response and reaches the server seconds later.
 
-        Applied after the release it would give the old owner its keys back while the
-        new one has them. The server has seen a higher token by then, and refuses it.
+        Carried out after the release, it would give the old owner its keys back while
+        the new owner has them. The server has seen a higher token by then and refuses
+        it.
         """
-        self.start_with_a_silent_renewal()
+        self.start_with_unanswered_renewal()
         self.view.directory.lose("old")
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
         calls = [c for c in self.servers.calls if c[1] == "old"]
         at = calls.index(("release", "old", FENCE))
         self.assertEqual(calls[at - 1], ("grant", "old", FENCE))
 
-    def let_be_busy(self, *keys, hottest=()):
-        """Let keys be busy, as all daemons told the leader, some more than can move."""
-        work = dict.fromkeys(keys, 9000.0) | dict.fromkeys(hottest, 100_000.0)
+    def report_hot_keys(self, *keys, hottest_keys=()):
+        """Let all daemons report load for keys, for some more than can move."""
+        work = dict.fromkeys(keys, 9000.0) | dict.fromkeys(hottest_keys, 100_000.0)
         heat = Heat(work, 300.0, 4300.0)
         self.leader.heat_of = lambda service: heat
         self.clock.advance(1000.0)
 
-    def test_busy_keys_are_cut_off_their_range_and_moved(self):
-        """The pieces that stay are renewed, each under the token of the whole."""
-        self.own()
-        self.list_servers(server("old"), server("new"))
-        self.start()
+    def test_hot_keys_are_split_off_and_moved(self):
+        """The pieces that stay are renewed under the token of the whole range."""
+        self.assign_all()
+        self.register(server("old"), server("new"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
-        self.let_be_busy(100, 101, 102, 103)
+        self.report_hot_keys(100, 101, 102, 103)
         self.assertTrue(self.wait(lambda: 1 + GAP in self.grants_to("new")))
         self.assertIn(("release", "old", 1), self.servers.calls)
         table = self.view.tables["parts"]
@@ -279,14 +279,14 @@
         owners = {item.owner: item.token for item in table.ranges}
         self.assertEqual(owners, {"old": 1, "new": 1 + GAP})
 
-    def test_a_grant_of_the_whole_range_is_in_doubt_for_each_piece(self):
-        """A range is cut while a renewal of all of it has no answer.
+    def test_doubt_about_range_applies_to_each_split_piece(self):
+        """A range is split while a renewal of all of it has no response.
 
-        The renewal arrives after a piece was released and given to another server, and
-        would give the old owner the piece back, beside the new one.
+        The renewal could arrive after a piece was released and granted to another
+        server, and would give that piece back to the old owner.
         """
-        self.start_with_a_silent_renewal()
-        self.let_be_busy(100, 101, 102, 103)
+        self.start_with_unanswered_renewal()
+        self.report_hot_keys(100, 101, 102, 103)
         self.assertTrue(self.wait(lambda: 1 + GAP in self.grants_to("new")))
         self.assertIn(("release", "old", FENCE), self.servers.calls)
         self.assertNotIn(("release", "old", 1), self.servers.calls)
@@ -294,20 +294,20 @@
         kept = {i.first for i in self.view.tables["parts"].ranges if i.owner == "old"}
         self.assertLessEqual(kept, told)
 
-    def test_a_piece_that_was_moved_does_not_end_the_renewals_of_the_rest(self):
-        """A renewal of the whole range comes to a server that was fenced for a piece.
+    def test_fencing_one_piece_does_not_stop_renewals_of_the_others(self):
+        """A renewal of the whole range reaches a server that was fenced for one piece.
 
-        It says that it has seen a higher token; the pieces that it keeps are renewed
-        nevertheless.
+        The server refuses it because of the higher token; the pieces that it keeps are
+        renewed nevertheless.
         """
-        self.own()
-        self.list_servers(server("old"), server("new"))
-        grant, held_up = self.servers.grant, []
+        self.assign_all()
+        self.register(server("old"), server("new"))
+        grant, delayed = self.servers.grant, []
         self.renewed_bounds = set()
 
         def grant_late(name, address, first, last, token, *rest, **bounds):
-            if (name, first, last) == ("old", 0, N_KEYS - 1) and not held_up:
-                held_up.append(True)
+            if (name, first, last) == ("old", 0, N_KEYS - 1) and not delayed:
+                delayed.append(True)
                 gevent.sleep(1.0)
                 return Failure(OvertakenGrantError("higher token"))
             if token == 1:
@@ -315,9 +315,9 @@
             return grant(name, address, first, last, token, *rest, **bounds)
 
         self.servers.grant = grant_late
-        self.start()
-        self.assertTrue(self.wait(lambda: held_up))
-        self.let_be_busy(100, 101, 102, 103, hottest=[50])
+        self.start_leader()
+        self.assertTrue(self.wait(lambda: delayed))
+        self.report_hot_keys(100, 101, 102, 103, hottest_keys=[50])
         self.assertTrue(self.wait(lambda: 1 + GAP in self.grants_to("new"), 5.0))
         table = self.view.tables["parts"]
         kept = {(i.first, i.last) for i in table.ranges if i.owner == "old"}
@@ -325,17 +325,17 @@
         renewed = self.wait(lambda: kept <= self.renewed_bounds, 8.0)
         self.assertTrue(renewed, (kept, self.renewed_bounds))
 
-    def test_each_fencing_grant_is_above_the_last(self):
-        """Servers carry orders out late, and a fencing grant gets no answer.
+    def test_fencing_tokens_increase_with_each_attempt(self):
+        """Servers carry out orders late, and a fencing grant has no response.
 
-        The same one sent again was answered, and the keys moved; then the first was
-        applied, and the old owner had them again beside the new one.
+        If the same grant were sent again and answered, the keys would move; the first
+        one could be carried out afterwards and give the keys back to the old owner.
         """
-        self.own()
-        self.list_servers(attrs.evolve(server("old"), draining=True), server("new"))
-        self.let_others_stop(0.0)
-        self.servers.answers["grant", "old"] = SILENT
-        self.start()
+        self.assign_all()
+        self.register(attrs.evolve(server("old"), draining=True), server("new"))
+        self.set_previous_leader_stop(0.0)
+        self.servers.answers["grant", "old"] = UNANSWERED
+        self.start_leader()
         self.assertTrue(self.wait(lambda: len(self.grants_to("old")) > 2))
         self.servers.answers.clear()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
@@ -344,51 +344,51 @@
         self.assertIn(("release", "old", tokens[-1]), self.servers.calls)
         self.assertLess(tokens[-1], self.grants_to("new")[0])
 
-    def test_an_old_owner_that_answers_no_fence_is_left_to_time(self):
-        self.own()
-        self.list_servers(attrs.evolve(server("old"), draining=True), server("new"))
-        self.let_others_stop(0.0)
-        self.servers.answers["grant", "old"] = SILENT
-        self.start()
+    def test_owner_without_fence_response_must_expire(self):
+        self.assign_all()
+        self.register(attrs.evolve(server("old"), draining=True), server("new"))
+        self.set_previous_leader_stop(0.0)
+        self.servers.answers["grant", "old"] = UNANSWERED
+        self.start_leader()
         self.assertFalse(self.wait(lambda: len(self.grants_to("old")) > 8, 3.5))
         self.assertEqual(self.grants_to("new"), [])
-        # What it has not answered may be carried out late.
+        # A grant without a response may be carried out late.
         self.clock.advance(TIMING.longest_hold_ms + 100.0)
         self.assertFalse(self.wait(lambda: self.grants_to("new"), 0.6))
         self.clock.advance(LATE_GRANT_MS)
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
 
-    def test_a_new_leader_fences_what_the_one_before_may_have_sent(self):
-        self.let_others_stop(9000.0)
-        self.own()
-        self.list_servers(server("new"))
-        self.start()
+    def test_new_leader_fences_grants_of_its_predecessor(self):
+        self.set_previous_leader_stop(9000.0)
+        self.assign_all()
+        self.register(server("new"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
         self.assertIn(("release", "old", FENCE), self.servers.calls)
 
-    def test_a_new_leader_fences_only_what_the_one_before_is_in_doubt_of(self):
-        """The leader before was asked, and knows that all its grants were answered.
+    def test_new_leader_does_not_wait_for_grants_known_to_be_answered(self):
+        """The previous leader reports that all its grants were answered.
 
-        Without its word an owner that is gone is waited for 15 s after each change of
-        the leader, also if no server ever left a grant unanswered.
+        Without the report, an owner that is gone would be waited for 15 s after each
+        change of leader, even if no server ever left a grant unanswered.
         """
         now_ms = self.clock.now_ms()
         self.leader.inherited = Inherited(now_ms, now_ms, {})
-        self.own()
-        self.list_servers(server("new"))
-        self.servers.answers |= {("grant", "old"): GONE, ("release", "old"): GONE}
-        self.start()
+        self.assign_all()
+        self.register(server("new"))
+        self.servers.answers |= {("grant", "old"): REFUSED, ("release", "old"): REFUSED}
+        self.start_leader()
         self.assertFalse(self.wait(lambda: self.grants_to("new"), 0.6))
         self.clock.advance(TIMING.longest_hold_ms + 100.0)
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
 
-    def test_what_had_no_answer_is_told_the_next_leader(self):
-        self.own()
-        self.list_servers(server("old"), server("new"))
-        self.start()
+    def test_unanswered_grants_are_reported_to_next_leader(self):
+        self.assign_all()
+        self.register(server("old"), server("new"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.assertEqual(self.doubts(), [])
-        self.servers.answers["grant", "old"] = SILENT
+        self.servers.answers["grant", "old"] = UNANSWERED
         self.clock.advance(TIMING.regrant_ms)
         self.assertTrue(self.wait(lambda: self.doubts(), 5.0))
         (service, first, token, left_ms), *more = self.doubts()
@@ -396,11 +396,11 @@
         self.assertGreater(left_ms, LATE_GRANT_MS - 100.0)
 
     def doubts(self):
-        """Return the rows that a leader tells its successor."""
+        """Return the rows that a leader reports to its successor."""
         doubts = self.granter.keeper.doubts()
         return doubts.to_message(self.clock.now_ms())["ranges"]
 
-    def test_what_the_leaders_before_were_in_doubt_of_is_told_on(self):
+    def test_inherited_doubts_are_reported_to_next_leader(self):
         key, until_ms = ("parts", 0, 1), self.clock.now_ms() + 5000.0
         before = Inherited(self.clock.now_ms(), 0.0, {key: until_ms})
         self.leader.inherited = before
@@ -409,11 +409,12 @@
         self.assertEqual(again.doubt_ends_ms(key), until_ms)
         self.assertLess(again.doubt_ends_ms(("parts", 7, 1)), until_ms - 4000.0)
 
-    def test_owners_that_only_time_proves_gone_hold_up_no_move(self):
+    def test_ranges_of_vanished_owners_do_not_block_other_moves(self):
         """Servers vanish, and then a failure domain is taken out.
 
-        The ranges of those that had vanished took all the room for moves, for as long
-        as time proved nothing: 40 s, in which the keys of the domain were refused.
+        The ranges of the vanished servers used up the limit of concurrent moves until
+        their grants expired: 40 s, in which requests for the domain's keys were
+        refused.
         """
         bounds = range(0, N_KEYS, N_KEYS // 64)
         owners = ["lost"] * 60 + ["old"] * 4
@@ -424,39 +425,39 @@
         table = RangeTable("parts", ranges, {"lost": "lost:80", "old": "old:80"})
         stored = self.store.put("ramp-ranges", "parts", table.to_spec(), 0).unwrap()
         self.view.take_table(table, stored.version)
-        self.servers.answers["release", "lost"] = GONE
-        self.list_servers(server("old"), server("new"))
-        self.let_others_stop(0.0)
-        self.start()
+        self.servers.answers["release", "lost"] = REFUSED
+        self.register(server("old"), server("new"))
+        self.set_previous_leader_stop(0.0)
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.releases_of("lost")))
-        self.list_servers(attrs.evolve(server("old"), draining=True))
+        self.register(attrs.evolve(server("old"), draining=True))
         self.assertTrue(self.wait(lambda: self.releases_of("old")))
         self.assertTrue(self.wait(lambda: len(self.grants_to("new")) >= 4))
 
-    def test_an_address_that_another_server_has_proves_the_end(self):
-        """55 keys went to a server at a reused address, with the token of the old."""
-        self.own()
-        self.list_servers(server("new"))
+    def test_reused_address_proves_release(self):
+        """55 keys once went to another server at the address, with the old token."""
+        self.assign_all()
+        self.register(server("new"))
         wrong = Failure(WrongServerError("another server"))
-        self.let_others_stop(0.0)
+        self.set_previous_leader_stop(0.0)
         self.servers.answers |= {("grant", "old"): wrong, ("release", "old"): wrong}
-        self.start()
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
         self.assertEqual(self.grants_to("new")[0], 1 + GAP)
 
-    def test_another_life_of_the_owner_gets_a_higher_token(self):
-        self.own()
-        self.list_servers(server("old", life=2))
-        self.start()
+    def test_restarted_owner_gets_higher_token(self):
+        self.assign_all()
+        self.register(server("old", life=2))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: 1 + GAP in self.grants_to("old")))
         self.assertNotIn(1, self.grants_to("old"))
 
-    def test_a_server_that_broke_its_connection_gets_higher_tokens(self):
-        """Guards against a new life of it, not listed yet, that gets the old token."""
-        self.own()
-        self.list_servers(server("old"))
-        self.servers.answers["grant", "old"] = SILENT
-        self.start()
+    def test_tokens_are_raised_after_failed_grant(self):
+        """Otherwise a restarted, not yet listed process would get the old token."""
+        self.assign_all()
+        self.register(server("old"))
+        self.servers.answers["grant", "old"] = UNANSWERED
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.servers.answers.clear()
         before = len(self.grants_to("old"))
@@ -464,11 +465,11 @@
         self.check_first_connections()
         self.assertNotIn(1, self.grants_to("old")[before:])
 
-    def test_a_server_that_closed_its_connection_gets_higher_tokens(self):
-        """Guards against one that ended and started between two renewals."""
-        self.own()
-        self.list_servers(server("old"))
-        self.start()
+    def test_tokens_are_raised_after_closed_connection(self):
+        """The server may have restarted between two renewals."""
+        self.assign_all()
+        self.register(server("old"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.servers.lost = True
         before = len(self.grants_to("old"))
@@ -485,14 +486,14 @@
             self.assertTrue(bounds["reuse_only"] or token not in sent, token)
             sent.add(token)
 
-    def test_without_a_write_to_the_store_no_connection_is_opened(self):
-        """Guards against the old token for a server that restarts in an outage.
+    def test_no_connection_is_opened_while_store_cannot_be_written(self):
+        """Otherwise a server that restarts in an outage would get the old token.
 
-        Once the store takes writes again, its keys are renewed.
+        Once the store accepts writes again, its keys are renewed.
         """
-        self.own()
-        self.list_servers(server("old"))
-        self.start()
+        self.assign_all()
+        self.register(server("old"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         put = self.store.put
         asked = []
@@ -508,7 +509,7 @@
         gevent.sleep(TIMING.regrant_ms / 1000.0 + 0.5)
         self.assertEqual(len(self.grants_to("old")), before)
         self.assertTrue(asked)
-        # Once it is known that the store does not hear this leader, it isn't asked.
+        # A leader that knows that it is cut off from the store does not call it.
         self.leader.may_move = False
         gevent.sleep(0.1)
         n_asked = len(asked)
@@ -521,10 +522,10 @@
         self.assertTrue(renewed)
         self.check_first_connections()
 
-    def test_a_store_that_refuses_writes_is_not_asked_at_once_again(self):
-        """Guards against calls beyond the store's rate while it turns them away."""
-        self.own()
-        self.list_servers(server("old"))
+    def test_refused_writes_are_retried_with_delay(self):
+        """Immediate retries would exceed the rate limit of a refusing store."""
+        self.assign_all()
+        self.register(server("old"))
         asked = []
 
         def refuse(kind, name, spec, version):
@@ -533,15 +534,15 @@
 
         self.store.put = refuse
         self.servers.lost = True
-        self.start()
+        self.start_leader()
         gevent.sleep(1.5)
         self.assertIn(len(asked), range(2, 8))
 
-    def test_a_closed_connection_is_remembered_until_tokens_are_raised(self):
-        """Guards against a new life that gets the old token, on a first connection."""
-        self.own()
-        self.list_servers(server("old"))
-        self.start()
+    def test_closed_connection_is_remembered_until_tokens_are_raised(self):
+        """Otherwise a restarted server gets the old token over a new connection."""
+        self.assign_all()
+        self.register(server("old"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.leader.may_move = False
         closed = iter([True])
@@ -550,11 +551,11 @@
         gevent.sleep(TIMING.regrant_ms / 1000.0 + 3.0)
         self.assertEqual(len(self.grants_to("old")), before)
 
-    def test_without_the_store_renewals_take_only_open_connections(self):
-        """Guards against a server's new life that gets the token of the one before."""
-        self.own(life=4)
-        self.list_servers(server("old", life=4))
-        self.start()
+    def test_renewals_without_store_use_only_open_connections(self):
+        """Otherwise a restarted server would get the token of the process before."""
+        self.assign_all(life=4)
+        self.register(server("old", life=4))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.assertEqual(self.servers.bounds[-1], {"life": 4, "reuse_only": True})
         self.leader.may_move = False
@@ -562,7 +563,8 @@
         n_before = len(self.servers.bounds)
         self.assertTrue(self.wait(lambda: len(self.servers.bounds) > n_before, 5.0))
         self.assertEqual(self.servers.bounds[-1], {"life": 4, "reuse_only": True})
-        # Nothing is known against the server: its keys stay, and it is tried again.
+        # No failure of the server is known: it keeps its keys, and renewals are
+        # retried.
         connection_state = self.granter.keeper.connection_state(("old", 4))
         self.assertEqual(
             (connection_state.is_broken, connection_state.failing_since_ms),
@@ -573,10 +575,10 @@
         n_before = len(self.servers.bounds)
         self.assertTrue(self.wait(lambda: len(self.servers.bounds) > n_before))
 
-    def test_a_token_is_raised_before_a_connection_is_opened(self):
-        """Guards against a restarted server that gets its old token again."""
-        self.own()
-        self.list_servers(server("old"))
+    def test_token_is_raised_before_connection_is_opened(self):
+        """Otherwise a restarted server would get its old token again."""
+        self.assign_all()
+        self.register(server("old"))
         stored, grant = [], self.servers.grant
 
         def note_stored(*arguments, **bounds):
@@ -586,23 +588,23 @@
 
         self.servers.grant = note_stored
         self.servers.answers["grant", "old"] = UNCONNECTED
-        self.start()
+        self.start_leader()
         self.assertTrue(self.wait(lambda: len(stored) >= 2))
         raised = 1 + GAP
         self.assertEqual(stored[:2], [(True, 1, [1]), (False, raised, [raised])])
 
-    def test_a_first_grant_without_an_answer_opens_no_second_connection(self):
-        """Guards against one token for two lives of a server that keys move to."""
-        self.own()
-        self.list_servers(attrs.evolve(server("old"), draining=True), server("new"))
-        self.servers.answers["grant", "new"] = SILENT
-        self.start()
+    def test_unanswered_first_grant_opens_no_second_connection(self):
+        """Otherwise two processes of the new owner could get the same token."""
+        self.assign_all()
+        self.register(attrs.evolve(server("old"), draining=True), server("new"))
+        self.servers.answers["grant", "new"] = UNANSWERED
+        self.start_leader()
         self.assertTrue(self.wait(lambda: len(self.grants_to("new")) >= 3, 5.0))
         self.check_first_connections()
 
-    def test_a_new_leader_takes_tokens_from_the_store(self):
-        """Guards against one that grants by what others told of the same version."""
-        self.own(token=1 + GAP)
+    def test_new_leader_uses_tokens_from_store(self):
+        """Other daemons may pass on the same version of the table with older tokens."""
+        self.assign_all(token=1 + GAP)
         version = self.view.table_version("parts")
         self.view.take_table(self.view.tables["parts"], version + 1)
         told = RangeTable("parts", (KeyRange(0, N_KEYS - 1, "old", 1, 1),), {})
@@ -610,46 +612,46 @@
         table = self.store.objects["ramp-ranges", "parts"]
         newer = attrs.evolve(table, version=version + 1)
         self.store.objects["ramp-ranges", "parts"] = newer
-        self.list_servers(server("old"))
-        self.start()
+        self.register(server("old"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.assertEqual(self.grants_to("old")[0], 1 + GAP)
 
-    def test_a_new_leader_reads_the_table_before_it_acts_on_it(self):
-        """Guards against renewals of owners that the last leader replaced."""
-        self.own()
+    def test_new_leader_reads_table_before_acting(self):
+        """Otherwise it would renew owners that the previous leader replaced."""
+        self.assign_all()
         moved = KeyRange(0, N_KEYS - 1, "new", 1, 1 + GAP)
         table = RangeTable("parts", (moved,), {"new": "new:80"})
         version = self.view.table_version("parts")
         self.store.put("ramp-ranges", "parts", table.to_spec(), version)
-        self.list_servers(server("old"), server("new"))
+        self.register(server("old"), server("new"))
         get = self.store.get
         self.store.get = lambda kind, name: Failure(UnansweredError("store is away"))
-        self.start()
+        self.start_leader()
         gevent.sleep(0.5)
         self.assertEqual(self.servers.calls, [])
         self.store.get = get
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
         self.assertEqual(self.grants_to("old"), [])
 
-    def test_keys_are_granted_although_the_answer_of_the_write_was_lost(self):
-        """Guards against keys that nobody serves until another daemon leads."""
-        self.own()
-        self.list_servers(attrs.evolve(server("old"), draining=True), server("new"))
+    def test_keys_are_granted_after_lost_write_response(self):
+        """Otherwise no server would own the keys until another daemon leads."""
+        self.assign_all()
+        self.register(attrs.evolve(server("old"), draining=True), server("new"))
         put = self.store.put
 
         def put_unanswered(kind, name, spec, expected_version):
             result = put(kind, name, spec, expected_version)
-            return result if spec["moving"] else SILENT
+            return result if spec["moving"] else UNANSWERED
 
         self.store.put = put_unanswered
-        self.start()
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
 
-    def test_a_relay_without_a_connection_is_no_broken_connection(self):
-        """Guards against keys that lapse in an outage because their relay is new."""
-        self.own_ranges("old", 4)
-        self.list_servers(server("old"))
+    def test_relay_without_connection_is_not_a_broken_connection(self):
+        """Otherwise grants would expire in an outage because their relay is new."""
+        self.assign_ranges("old", 4)
+        self.register(server("old"))
         asked, self.leader.may_move = [], False
         relays = iter(["relay:1", "relay:2"])
         self.granter.relays = types.SimpleNamespace(
@@ -659,53 +661,54 @@
             ),
             exclude=lambda relay, server: None,
         )
-        self.start()
+        self.start_leader()
         self.assertTrue(self.wait(lambda: len(self.grants_to("old")) >= 4))
         never = [False] * 4
         self.assertEqual(asked, [("relay:1", never), ("relay:2", never)])
 
-    def test_a_later_life_lets_go_of_what_was_meant_for_the_earlier_one(self):
+    def test_restarted_owner_is_released_before_keys_move_on(self):
         """A server restarts while keys move to it, and is listed a moment later.
 
-        The grant to its earlier life reached the new one. That the earlier life had
-        ended seemed to prove that nobody held the keys, and a third server got them.
+        The grant to its earlier process reached the new one. The end of the earlier
+        process alone seemed to prove that no server held the keys, and a third server
+        got them.
         """
-        self.own("first")
+        self.assign_all("first")
         draining = attrs.evolve(server("first"), draining=True)
-        self.list_servers(draining, server("second"))
-        self.start()
+        self.register(draining, server("second"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("second")))
         third = attrs.evolve(server("third"), slots=9)
-        self.list_servers(server("second", life=2), third)
-        self.assertTrue(self.wait(lambda: len(self.calls_after_restart()) > 1))
-        self.assertEqual(self.calls_after_restart()[0][:2], ("release", "second"))
+        self.register(server("second", life=2), third)
+        self.assertTrue(self.wait(lambda: len(self.calls_beyond_first_token()) > 1))
+        self.assertEqual(self.calls_beyond_first_token()[0][:2], ("release", "second"))
 
-    def calls_after_restart(self):
-        """Return what servers were told beyond the first token of the second one."""
+    def calls_beyond_first_token(self):
+        """Return the calls to later owners beyond the second one's first token."""
         token = 1 + GAP
         calls = [c for c in self.servers.calls if c[1] != "first"]
         return [c for c in calls if c[0] == "release" or c[2] > token]
 
-    def test_a_renewal_without_a_relays_answer_is_in_doubt(self):
-        """A relay freezes with renewals in its hands, and their keys move on.
+    def test_relayed_renewal_without_response_is_in_doubt(self):
+        """A relay is paused with unsent renewals, and their keys move on.
 
-        Once it thaws it may still send them: the owner is fenced first, as after a
-        renewal of the leader's own that had no answer.
+        Once it resumes, it may still send them. The owner is fenced first, as after an
+        unanswered renewal of the leader itself.
         """
-        self.own_ranges("old", 4)
-        self.list_servers(server("old"))
+        self.assign_ranges("old", 4)
+        self.register(server("old"))
         self.granter.relays = types.SimpleNamespace(
             pick=lambda name: "relay:1" if name == "old" else "",
-            send=lambda relay, name, address, items, *rest: [SILENT] * len(items),
+            send=lambda relay, name, address, items, *rest: [UNANSWERED] * len(items),
         )
-        self.start()
+        self.start_leader()
         self.assertTrue(self.wait(lambda: len(self.doubts()) == 4))
-        self.list_servers(attrs.evolve(server("old"), draining=True), server("new"))
+        self.register(attrs.evolve(server("old"), draining=True), server("new"))
         self.assertTrue(self.wait(lambda: len(self.releases_of("old")) == 4))
         self.assertEqual(set(self.releases_of("old")), {FENCE})
 
-    def own_ranges(self, owner, n_ranges):
-        """Give all keys to a server in some ranges, as the store says."""
+    def assign_ranges(self, owner, n_ranges):
+        """Assign all keys to a server in several ranges, in the store and the view."""
         ranges = tuple(
             KeyRange(first, last, owner, 1, 1) for first, last in even_bounds(n_ranges)
         )
@@ -713,17 +716,17 @@
         stored = self.store.put("ramp-ranges", "parts", table.to_spec(), 0).unwrap()
         self.view.take_table(table, stored.version)
 
-    def test_only_a_confirmed_leader_carries_on_moves(self):
-        """A thawed leader and its successor carry on the same move.
+    def test_unconfirmed_leader_does_not_continue_moves(self):
+        """A leader that resumes after a pause continues the same move as its successor.
 
-        The fencing grant of the one came after the other had given the keys away: the
-        old owner had them again.
+        Its fencing grant would come after the successor granted the keys to the new
+        owner, and the old owner would have them again.
         """
-        self.own()
-        self.list_servers(server("new"))
-        self.servers.answers["release", "old"] = SILENT
-        self.let_others_stop(0.0)
-        self.start()
+        self.assign_all()
+        self.register(server("new"))
+        self.servers.answers["release", "old"] = UNANSWERED
+        self.set_previous_leader_stop(0.0)
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.releases_of("old")))
         self.leader.may_move = False
         gevent.sleep(0.4)
@@ -734,36 +737,39 @@
         self.leader.may_move = True
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
 
-    def test_a_leader_that_was_not_replaced_keeps_what_it_knows(self):
-        """The store confirms a leader for nine seconds not, and then again.
+    def test_grants_are_remembered_if_leader_was_not_replaced(self):
+        """The store does not confirm a leader for nine seconds, and then does again.
 
-        It had forgotten its grants: a hold that had seconds to run counted as ended,
-        and its keys got a second owner.
+        If the leader discarded its grants, a hold with seconds left would count as
+        expired, and its keys would get a second owner.
         """
-        self.own()
-        self.list_servers(server("old"), server("new"))
-        self.start()
+        self.assign_all()
+        self.register(server("old"), server("new"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.leader.leads = self.leader.may_move = False
         gevent.sleep(0.4)
-        self.servers.answers |= {("grant", "old"): SILENT, ("release", "old"): SILENT}
+        self.servers.answers |= {
+            ("grant", "old"): UNANSWERED,
+            ("release", "old"): UNANSWERED,
+        }
         self.view.directory.lose("old")
         self.leader.leads = self.leader.may_move = True
         self.assertFalse(self.wait(lambda: self.grants_to("new"), 0.8))
         self.clock.advance(TIMING.longest_hold_ms + 100.0)
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
 
-    def test_a_release_of_an_earlier_term_proves_nothing(self):
-        """A leader takes a range back, and others lead before the store says so.
+    def test_release_from_earlier_term_is_no_proof(self):
+        """Other daemons lead between a release and the write that records it.
 
-        They may have fenced the old owner once more, which gives it the range for a
-        moment or, carried out late, at any moment.
+        They may have fenced the old owner again, which gives it the range for a moment
+        or, if carried out late, at any time.
         """
-        self.own()
-        self.list_servers(attrs.evolve(server("old"), draining=True), server("new"))
-        put, self.store.put = self.store.put, self.refuse_freed
+        self.assign_all()
+        self.register(attrs.evolve(server("old"), draining=True), server("new"))
+        put, self.store.put = self.store.put, self.reject_free_ranges
         self.put = put
-        self.start()
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.releases_of("old")))
         gevent.sleep(0.3)
         before = len(self.releases_of("old"))
@@ -772,33 +778,39 @@
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
         self.assertGreater(len(self.releases_of("old")), before)
 
-    def refuse_freed(self, kind, name, spec, version):
-        """Write nothing that calls a range free."""
+    def reject_free_ranges(self, kind, name, spec, version):
+        """Reject writes that record a range as free."""
         if not RangeTable.from_spec(spec).find(0).is_moving:
             return Failure(ConflictError(version, None))
         return self.put(kind, name, spec, version)
 
-    def test_a_move_is_not_begun_twice(self):
-        """The second run forgot the new owner's grant; the next move trusted time."""
-        self.own()
-        self.list_servers(attrs.evolve(server("old"), draining=True), server("new"))
-        self.start()
+    def test_move_is_started_once(self):
+        """A second run would discard the new owner's grant from the records.
+
+        The next move would then assume that the grant had expired.
+        """
+        self.assign_all()
+        self.register(attrs.evolve(server("old"), draining=True), server("new"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
         self.wait(lambda: not self.view.tables["parts"].find(0).is_moving)
-        self.servers.answers |= {("grant", "new"): SILENT, ("release", "new"): SILENT}
-        self.list_servers(server("third"))
+        self.servers.answers |= {
+            ("grant", "new"): UNANSWERED,
+            ("release", "new"): UNANSWERED,
+        }
+        self.register(server("third"))
         self.view.directory.lose("new")
         self.assertFalse(self.wait(lambda: self.grants_to("third"), 1.0))
         releases = [c for c in self.servers.calls if c[:2] == ("release", "old")]
         self.assertEqual(len(releases), 1)
 
-    def test_a_table_that_others_have_written_is_taken_in(self):
-        self.own()
+    def test_conflicting_table_is_adopted(self):
+        self.assign_all()
         item = KeyRange(0, N_KEYS - 1, "old", 1, 9)
         other = RangeTable("parts", (item,), {"old": "old:80"})
         version = self.view.table_version("parts")
         self.store.put("ramp-ranges", "parts", other.to_spec(), version)
-        self.list_servers(server("new"))
-        self.start()
+        self.register(server("new"))
+        self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
         self.assertEqual(self.grants_to("new")[0], 9 + GAP)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,4 @@
-"""One daemon leads; what the others learn, and what becomes of it in an outage."""
+"""Election of the leader, updates to the other daemons, and outages of the store."""
 
 import math
 import types
@@ -24,7 +24,7 @@
 
 
 class Store:
-    """One record under a version, and whether it answers."""
+    """One record under a version; it may be unavailable."""
 
     def __init__(self):
         self.stored, self.is_down = None, False
@@ -36,7 +36,7 @@
         return Success(self.stored) if self.stored else Failure(NotFoundError("none"))
 
     def put(self, kind, name, spec, expected_version):
-        """Write the record if it is at a version."""
+        """Write the record if it has the expected version."""
         if self.is_down:
             return Failure(PlatformBusyError("down"))
         version = self.stored.version if self.stored else 0
@@ -47,7 +47,7 @@
 
 
 class Follower:
-    """Stands for what follows the store."""
+    """Stands in for the follower of the store."""
 
     changed, failing_since_ms = {}, {}
     is_synced = follows_store = hears_store = True
@@ -55,36 +55,36 @@
     roster = Roster.of(["s1"])
 
     def __init__(self):
-        self.reasons, self.behind = [], []
+        self.events, self.catch_up_calls = [], []
 
     def follow_store(self, reason):
-        """Note why."""
-        self.reasons.append(reason)
+        """Record the reason."""
+        self.events.append(reason)
 
     def follow_leader(self, leader):
-        """Note whom."""
-        self.reasons.append(f"lean {leader}")
+        """Record the leader."""
+        self.events.append(f"follow {leader}")
 
     def compare_digests(self, peer, digest):
-        """Compare nothing."""
+        """Do nothing."""
 
     def catch_up(self, address, versions):
-        """Note who knows what."""
-        self.behind.append((address, versions))
+        """Record the address and its versions."""
+        self.catch_up_calls.append((address, versions))
 
     def record_store_failure(self):
-        """Note that a call to the store failed."""
-        self.reasons.append("trouble")
+        """Record that a call to the store failed."""
+        self.events.append("store failure")
 
     def news_since(self, versions):
-        """Return no news."""
+        """Return no updates."""
         return {}
 
     def take_news(self, news):
-        """Take nothing."""
+        """Do nothing."""
 
 
-class LosingFollower(Follower):
+class FollowerLosingStore(Follower):
     """Loses the store at a given time."""
 
     def __init__(self, clock, lost_ms):
@@ -93,7 +93,7 @@
 
     @property
     def ms_until_cut_off(self):
-        """How long until then."""
+        """Time until then."""
         return self.lost_ms - self.clock.now_ms()
 
 
@@ -110,9 +110,9 @@
         address = f"{name}:1"
         peers = types.SimpleNamespace(
             ping=lambda to, message, wait_ms: self.exchange(to, "heard", message),
-            step_down=lambda to, *said: self.exchange(to, "told_to_step_down", *said),
+            step_down=lambda to, *args: self.exchange(to, "told_to_step_down", *args),
         )
-        made = Leadership(
+        created = Leadership(
             name,
             f"{name}{boot}",
             address,
@@ -123,26 +123,26 @@
             Loads("a"),
             self.clock,
         )
-        self.daemons[address] = made
-        return made
+        self.daemons[address] = created
+        return created
 
     def exchange(self, address, method, *arguments):
-        """Carry a message to a daemon, if there is one."""
+        """Pass a message to the daemon at an address, if there is one."""
         daemon = self.daemons.get(address)
         if daemon is None:
             return Failure(PlatformBusyError("nobody there"))
-        # The clock stands while somebody waits for news.
+        # The clock does not advance while a response is delayed.
         with gevent.Timeout(0.05, False):
             return Success(getattr(daemon, method)(*arguments))
         return Failure(PlatformBusyError("waits"))
 
-    def stand_still(self, daemon):
-        """Let a daemon see the record stand still for a whole lease."""
+    def let_record_go_stale(self, daemon):
+        """Let a daemon see the record unchanged for a whole lease."""
         daemon._discover_leader()
         self.clock.advance(daemon.timing.lease_ms + 1)
         daemon._discover_leader()
 
-    def test_the_first_takes_the_record_and_the_second_does_not(self):
+    def test_first_daemon_becomes_leader(self):
         self.one._discover_leader()
         self.other._discover_leader()
         self.assertTrue(self.one.leads)
@@ -150,33 +150,33 @@
         self.one._keep()
         self.assertTrue(self.one.may_move)
 
-    def test_a_silent_leader_is_replaced_and_told_so(self):
+    def test_unresponsive_leader_is_replaced_and_notified(self):
         self.one._discover_leader()
-        self.stand_still(self.other)
+        self.let_record_go_stale(self.other)
         self.assertTrue(self.other.leads)
         self.assertFalse(self.one.leads)
         self.assertLessEqual(self.other.inherited.stopped_ms, self.clock.now_ms())
         self.one._keep()
         self.assertFalse(self.one.leads)
 
-    def test_a_deaf_leader_turns_only_some_daemons_to_the_store(self):
-        """The leader's calls to the store fail, or those of all daemons.
+    def test_leader_cut_off_from_store_limits_watchers(self):
+        """The calls of the leader, or of all daemons, to the store fail.
 
-        At 69 daemons each of them read everything anew and asked again and again: ten
+        At 69 daemons each of them would read everything again and keep retrying: ten
         thousand calls in a day that should have some hundreds.
         """
         self.one._discover_leader()
         names = [f"e{domain}-{at:02}" for domain in "abcd" for at in range(16)]
-        for hears, n_watchers in ((True, 1), (False, WATCHERS_WHEN_CUT_OFF)):
-            self.one.follower.hears_store = hears
+        for is_connected, n_watchers in ((True, 1), (False, WATCHERS_WHEN_CUT_OFF)):
+            self.one.follower.hears_store = is_connected
             self.one._keep()
-            self.assertEqual(len(self.told_to_watch(names)), n_watchers)
-        domains = {name[:2] for name in self.told_to_watch(names)}
+            self.assertEqual(len(self.appointed_watchers(names)), n_watchers)
+        domains = {name[:2] for name in self.appointed_watchers(names)}
         self.assertEqual(domains, {"ea", "eb", "ec", "ed"})
-        self.assertEqual(self.one.view.watchers, set(self.told_to_watch(names)))
+        self.assertEqual(self.one.view.watchers, set(self.appointed_watchers(names)))
 
-    def told_to_watch(self, names):
-        """Return those of some daemons that the leader tells to follow the store."""
+    def appointed_watchers(self, names):
+        """Return the names of daemons that the leader tells to follow the store."""
         self.one.follower.news_since = lambda versions: {"any": {}}
         told = {}
         for name in names * 2:
@@ -184,63 +184,66 @@
             told[name] = self.one.heard(message)["watch"]
         return [name for name, watches in told.items() if watches]
 
-    def test_an_unconfirmed_leader_turns_others_to_the_store_within_the_bound(self):
-        """Its calls get no answer; what changes is to be in force after two seconds."""
+    def test_unconfirmed_leader_appoints_watchers_in_time(self):
+        """Its calls have no response; changes have to be in force after two seconds."""
         self.one._discover_leader()
         names = ["e1", "e2", "e3"]
         self.clock.advance(self.one.timing.renew_ms + 500.0)
-        self.assertEqual(len(self.told_to_watch(names)), 1)
+        self.assertEqual(len(self.appointed_watchers(names)), 1)
         self.clock.advance(200.0)
-        self.assertEqual(self.told_to_watch(names), names)
+        self.assertEqual(self.appointed_watchers(names), names)
 
-    def test_who_waits_for_news_is_told_as_soon_as_the_store_is_lost(self):
+    def test_waiting_ping_is_answered_when_store_is_lost(self):
         clock = self.one.clock = Clock()
         self.one._discover_leader()
         lost_ms = clock.now_ms() + 50.0
-        self.one.follower = LosingFollower(clock, lost_ms)
+        self.one.follower = FollowerLosingStore(clock, lost_ms)
         answer = self.one.heard({"name": "e1", "address": "e1:1", "versions": {}})
         self.assertFalse(answer["hears_store"])
         self.assertLess(clock.now_ms(), lost_ms + 200.0)
 
-    def test_who_follows_the_store_for_a_leader_reports_soon(self):
+    def test_watcher_of_cut_off_leader_waits_briefly(self):
         clock = self.one.clock = Clock()
         self.one._discover_leader()
         self.one.follower.hears_store = False
-        self.assertIn("e1", self.told_to_watch(["e1"]))
+        self.assertIn("e1", self.appointed_watchers(["e1"]))
         self.one.follower.news_since = lambda versions: {}
         began_ms = clock.now_ms()
         self.one.heard({"name": "e1", "address": "e1:1", "versions": {}})
         self.assertLess(clock.now_ms(), began_ms + 250.0)
 
-    def test_a_leader_asks_who_has_read_more_of_the_store(self):
+    def test_leader_catches_up_with_pinging_daemon(self):
         self.one._discover_leader()
-        self.told_to_watch(["e1"])
-        self.assertIn(("e1:1", {}), self.one.follower.behind)
+        self.appointed_watchers(["e1"])
+        self.assertIn(("e1:1", {}), self.one.follower.catch_up_calls)
 
-    def test_a_replaced_leader_says_who_leads_now(self):
-        """Nobody has to ask the store; at 69 daemons each change cost 2,000 calls."""
+    def test_replaced_leader_names_its_successor(self):
+        """No daemon has to ask the store.
+
+        At 69 daemons each change of leader cost 2,000 calls to it.
+        """
         third = self.daemon("d3")
         for daemon in (self.one, third):
             daemon._discover_leader()
-        self.stand_still(self.other)
-        third.follower.reasons.clear()
+        self.let_record_go_stale(self.other)
+        third.follower.events.clear()
         for daemon in self.daemons.values():
             daemon.follower.news_since = lambda versions: {"any": {}}
         third._ping()
         third._ping()
-        # It is the one other daemon that the new leader wants to follow the store.
-        self.assertEqual(third.follower.reasons, ["told by the leader"])
+        # It is the only other daemon, so the new leader makes it a watcher.
+        self.assertEqual(third.follower.events, ["told by the leader"])
 
-    def test_a_replaced_leader_does_not_wait_for_a_silent_store(self):
+    def test_replaced_leader_does_not_wait_for_store(self):
         self.one._discover_leader()
-        self.stand_still(self.other)
+        self.let_record_go_stale(self.other)
         self.one.store = types.SimpleNamespace(get=lambda *name: gevent.sleep(60.0))
         task = gevent.spawn(self.one.run)
         self.addCleanup(task.kill)
         gevent.sleep(0.2)
         self.assertIn("d1", self.other.view.daemons)
 
-    def test_a_silent_store_holds_up_no_news_of_the_leader(self):
+    def test_unresponsive_store_does_not_delay_updates(self):
         for daemon in (self.one, self.other):
             daemon._discover_leader()
         self.one.follower.hears_store = False
@@ -252,60 +255,60 @@
         gevent.sleep(0.5)
         self.assertGreater(len(asked), 5)
 
-    def test_a_successor_that_does_not_lead_either_is_asked_once(self):
+    def test_successor_that_does_not_lead_is_pinged_once(self):
         third = self.daemon("d3")
         for daemon in (self.one, third):
             daemon._discover_leader()
-        self.stand_still(self.other)
+        self.let_record_go_stale(self.other)
         self.other.standing.give_up()
         for _ in range(3):
             third._ping()
-        self.assertIn("nobody leads", third.follower.reasons)
+        self.assertIn("nobody leads", third.follower.events)
 
-    def test_what_a_replaced_leader_is_in_doubt_of_is_taken_over(self):
-        """Only its own process knows which of its grants had no answer."""
+    def test_doubts_of_replaced_leader_are_inherited(self):
+        """Only its own process knows which of its grants had no response."""
         key, until_ms = ("parts", 0, 1), self.clock.now_ms() + 9000.0
         self.one.doubts = lambda: Inherited(0.0, 0.0, {key: until_ms})
         self.one._discover_leader()
-        self.stand_still(self.other)
+        self.let_record_go_stale(self.other)
         self.assertEqual(self.other.inherited.doubt_ends_ms(key), until_ms)
         other_key = ("parts", 5, 1)
         self.assertLessEqual(
             self.other.inherited.doubt_ends_ms(other_key), self.clock.now_ms()
         )
 
-    def test_without_its_word_all_its_grants_are_in_doubt(self):
+    def test_all_grants_of_unreachable_leader_are_in_doubt(self):
         self.one._discover_leader()
         for silent in (True, False):
             before = self.daemons.pop("d1:1")
             if not silent:
                 self.daemon("d1", boot="c")
-            self.stand_still(self.other)
+            self.let_record_go_stale(self.other)
             late_ms = self.clock.now_ms() + LATE_GRANT_MS
             self.assertGreaterEqual(self.other.inherited.doubt_ends_ms(None), late_ms)
             self.daemons["d1:1"] = before
-            self.stand_still(self.one)
+            self.let_record_go_stale(self.one)
             self.assertTrue(self.one.leads)
 
-    def test_a_leader_that_cannot_be_asked_is_waited_for(self):
-        """It may be frozen, and renew once it wakes, until its right has ended."""
+    def test_right_of_unreachable_leader_must_end(self):
+        """It may be paused, and renew after it resumes until its right has ended."""
         self.one._discover_leader()
         del self.daemons["d1:1"]
-        self.stand_still(self.other)
+        self.let_record_go_stale(self.other)
         self.assertTrue(self.other.leads)
         right_ms = self.other.timing.right_ms
         self.assertGreater(
             self.other.inherited.stopped_ms, self.clock.now_ms() + right_ms
         )
 
-    def test_the_next_process_at_the_address_takes_over_at_once(self):
+    def test_restarted_leader_takes_over_immediately(self):
         self.one._discover_leader()
         again = self.daemon("d1", boot="c")
         again._discover_leader()
         self.assertTrue(again.leads)
         self.assertLessEqual(again.inherited.stopped_ms, self.clock.now_ms())
 
-    def test_a_leader_that_stops_is_followed_without_a_wait(self):
+    def test_resigned_leader_is_replaced_immediately(self):
         self.one._discover_leader()
         self.one.resign()
         self.assertFalse(self.one.leads)
@@ -313,11 +316,11 @@
         self.assertTrue(self.other.leads)
         self.assertLessEqual(self.other.inherited.stopped_ms, self.clock.now_ms())
 
-    def test_a_leader_that_stops_in_an_outage_goes_on_renewing(self):
-        """The store is away while the leader is told to stop.
+    def test_resigning_leader_keeps_renewing_during_outage(self):
+        """The store is unavailable while the leader is told to stop.
 
-        It gave up at once, and nobody could take over: seven seconds later no server
-        held a key any more, and all their callers were refused.
+        If it gave up at once, no daemon could take over: seven seconds later all grants
+        would have expired, and all callers of divided services would be refused.
         """
         self.one._discover_leader()
         self.store.is_down = True
@@ -334,7 +337,7 @@
         self.other._discover_leader()
         self.assertTrue(self.other.leads)
 
-    def test_a_lost_answer_to_the_own_write_costs_nothing(self):
+    def test_lost_write_response_does_not_end_leadership(self):
         self.one._discover_leader()
         spec = {**self.store.stored.spec, "beat": 1}
         self.store.stored = Stored("", "", self.store.stored.version + 1, spec)
@@ -342,23 +345,23 @@
         self.one._keep()
         self.assertTrue(self.one.may_move)
 
-    def test_daemons_hear_more_often_while_requests_queue(self):
-        """Eleven daemons ask the owner of a hot key, and each sees only its own part.
+    def test_update_wait_is_shorter_while_requests_queue(self):
+        """Eleven daemons send to the owner of a hot key; each sees only its own part.
 
-        In calm times nobody pays for that.
+        Without queues the extra traffic is avoided.
         """
         server = BackendServer("s1", 1, "desk", "s1:80", "a", 3)
         self.one.view.directory.take(server)
-        calm_ms = self.one._update_wait_ms()
+        usual_ms = self.one._update_wait_ms()
         for _ in range(4):
             self.one.loads.sent(Chosen(server, "r", 0.0))
-        self.assertLess(self.one._update_wait_ms(), calm_ms / 2)
-        # A leader of a large fleet has no time for that.
+        self.assertLess(self.one._update_wait_ms(), usual_ms / 2)
+        # The leader of a large fleet cannot respond that often.
         self.one.view.daemons |= {f"x{i}": "x:1" for i in range(80)}
-        self.assertEqual(self.one._update_wait_ms(), calm_ms)
+        self.assertEqual(self.one._update_wait_ms(), usual_ms)
 
-    def test_a_large_fleet_asks_less_often_while_everything_changes(self):
-        """Ninety daemons that ask again at once fill the link of a small VM."""
+    def test_ping_interval_grows_with_fleet(self):
+        """Ninety daemons that ping again at once would fill the link of a small VM."""
         for daemon in (self.one, self.other):
             daemon._discover_leader()
         self.one.follower.news_since = lambda versions: {"any": {}}
@@ -367,7 +370,7 @@
         self.one.view.daemons |= self.other.view.daemons
         self.assertGreater(self.other._follow(), 150.0)
 
-    def test_who_waited_for_news_asks_again_at_once(self):
+    def test_ping_follows_immediately_after_long_wait(self):
         for daemon in (self.one, self.other):
             daemon._discover_leader()
         self.other.view.daemons |= {f"x{i}": "x:1" for i in range(90)}
@@ -377,7 +380,7 @@
         )
         self.assertEqual(self.other._follow(), MIN_PING_INTERVAL_MS)
 
-    def test_loads_of_the_others_are_passed_on(self):
+    def test_requests_in_flight_of_other_daemons_are_passed_on(self):
         self.one._discover_leader()
         server = BackendServer("s1", 1, "desk", "s1:80", "a", 3)
         self.other.loads.sent(Chosen(server, "r", 0.0))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""Renewals through a daemon of the server's own failure domain."""
+"""Renewals through a daemon in the server's failure domain."""
 
 import json
 import types
@@ -36,7 +36,7 @@
 
 
 class RelayTest(unittest.TestCase):
-    """The daemon that is asked, and a server that a test scripts."""
+    """A relay, and a server whose responses a test defines."""
 
     def setUp(self):
         self.clock, self.sent, self.lost = ManualClock(1000.0), [], False
@@ -44,88 +44,88 @@
         self.relay = Relay(self, self.clock)
 
     def has_lost(self, address):
-        """Tell whether the kept connection was closed."""
+        """Return whether the kept connection was closed."""
         return self.lost
 
     def grant(self, server, address, first, last, token, hold_ms, *rest, **bounds):
-        """Note a grant."""
+        """Record a grant."""
         self.sent.append((server, first, last, token, hold_ms))
         self.bounds.append(bounds)
         self.clock.advance(self.took_ms)
         return self.answers.get(first, Success(None))
 
     def statuses(self):
-        """Return what the relay says of each renewal."""
+        """Return the relay's status for each renewal."""
         return self.relay.send(MESSAGE)["results"]
 
-    def test_all_are_sent_as_the_leader_said(self):
+    def test_renewals_are_sent_as_requested(self):
         self.assertEqual(self.statuses(), ["done"] * 3)
         self.assertEqual(self.sent[2], ("s1", 20, 29, 5, 7000.0))
         self.assertEqual(self.bounds[1], {"life": 3, "reuse_only": True})
         self.assertEqual(self.bounds[2], {"life": 3, "reuse_only": False})
 
-    def test_a_relay_that_stood_still_sends_no_more(self):
-        """It freezes between two grants; what it thaws with may have moved on."""
+    def test_relay_stops_after_pause(self):
+        """The relay is paused between two grants; ranges may have moved meanwhile."""
         self.took_ms = VALID_MS + 1.0
         self.assertEqual(self.statuses(), ["done"])
         self.assertEqual(len(self.sent), 1)
 
-    def test_a_message_may_be_older_than_its_leaders_silence(self):
-        """Guards against a relay that thaws cut off, with a message unread."""
+    def test_outdated_message_is_rejected(self):
+        """A relay may resume while cut off from the leader, with an unread message."""
         for clock_ms in (1000.0 - FRESH_MS, 1000.5, None):
             answer = self.relay.send({**MESSAGE, "clock_ms": clock_ms})
             self.assertEqual(answer, {"clock_ms": 1000.0})
         self.assertEqual(self.sent, [])
-        nearly_old = {**MESSAGE, "clock_ms": 1100.0 - FRESH_MS}
+        nearly_outdated = {**MESSAGE, "clock_ms": 1100.0 - FRESH_MS}
         self.took_ms = 101.0
-        self.assertEqual(self.relay.send(nearly_old)["results"], ["done"])
+        self.assertEqual(self.relay.send(nearly_outdated)["results"], ["done"])
 
-    def test_it_stops_at_a_server_that_does_not_answer(self):
+    def test_relay_stops_at_unresponsive_server(self):
         self.answers = {
             0: Failure(OvertakenGrantError("higher token")),
             10: Failure(UnansweredError("no answer")),
         }
         self.assertEqual(self.statuses(), ["overtaken", "silent"])
 
-    def test_what_nobody_waits_for_any_more_is_not_sent(self):
-        """Guards against a relay that thaws with a message of long ago unread."""
+    def test_abandoned_message_is_not_sent(self):
+        """A relay may resume with an old unread message."""
         self.assertEqual(self.relay.send(MESSAGE, lambda: False)["results"], [])
         self.assertEqual(self.sent, [])
 
-    def test_a_leader_that_gave_up_before_its_message_was_read(self):
-        """Guards against a relay that thaws with a message of long ago unread."""
+    def test_leader_disconnects_before_message_is_read(self):
+        """A relay may resume with an old unread message."""
         application = PeerApplication(None, None, self.relay, None)
         server = DaemonServer(free_address(), application, self.clock)
         server.start()
         self.addCleanup(server.close)
         packed = zlib.compress(json.dumps(MESSAGE).encode())
         head = f"POST {RELAY} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(packed)}"
-        for gives_up, n_sent in ((True, 0), (False, 3)):
+        for disconnects, n_sent in ((True, 0), (False, 3)):
             leader = gevent.socket.create_connection(server.address)
             leader.sendall(head.encode() + b"\r\n\r\n" + packed)
-            if gives_up:
+            if disconnects:
                 leader.close()
             gevent.sleep(0.2)
             self.assertEqual(len(self.sent), n_sent)
             leader.close()
 
-    def test_a_token_without_a_connection_holds_up_no_other(self):
-        """Guards against a server that loses all keys in an outage for a new one."""
+    def test_missing_connection_does_not_stop_other_renewals(self):
+        """Otherwise one new range would cost a server all its keys in an outage."""
         self.answers = {0: Failure(NoConnectionError("none is open"))}
         self.assertEqual(self.statuses(), ["no connection", "done", "done"])
 
-    def test_another_server_at_the_address(self):
+    def test_address_of_another_server(self):
         self.answers = {0: Failure(WrongServerError("another one"))}
         self.assertEqual(self.statuses(), ["wrong server"])
 
-    def test_a_server_that_closed_its_connection_is_left_to_the_leader(self):
-        """It may have started again and must not get the old token."""
+    def test_closed_connection_is_left_to_leader(self):
+        """The server may have restarted and must not get the old token."""
         self.lost = True
         self.assertEqual(self.statuses(), ["not sent"])
         self.assertEqual(self.sent, [])
 
 
-class RelaysTest(unittest.TestCase):
+class RelayPoolTest(unittest.TestCase):
     """The leader's side."""
 
     def setUp(self):
@@ -143,7 +143,7 @@
         self.relays = Relays(view, self.leadership, peers, self.clock)
 
     def relay_message(self, relay, message, timeout_ms):
-        """Answer as a relay whose clock shows 9000 ms."""
+        """Respond as a relay whose clock shows 9000 ms."""
         self.messages.append(message)
         if (
             message["clock_ms"] == 9000.0
@@ -153,32 +153,32 @@
         return Success({"clock_ms": 9000.0})
 
     def send(self):
-        """Renew two ranges; return the kinds of the errors, None for success."""
+        """Renew two ranges; return the error type of each, or None for success."""
         relay = self.relays.pick("s1")
-        firsts = [True, False]
-        results = self.relays.send(relay, "s1", "s1:80", ITEMS, 7000.0, firsts)
+        are_new_tokens = [True, False]
+        results = self.relays.send(relay, "s1", "s1:80", ITEMS, 7000.0, are_new_tokens)
         return [r.swap().map(type).value_or(None) for r in results]
 
-    def test_only_servers_of_other_failure_domains_have_one(self):
+    def test_relay_only_for_other_failure_domains(self):
         self.assertIn(self.relays.pick("s1"), ("d2:1", "d3:1"))
         self.assertEqual(self.relays.pick("s2"), "")
         self.assertEqual(self.relays.pick("unknown"), "")
 
-    def test_what_the_server_said_comes_back(self):
+    def test_server_responses_are_returned(self):
         self.assertEqual(self.send(), [None, None])
         ranges = self.messages[0]["ranges"]
         self.assertEqual(ranges, [[0, 9, 1, True], [10, 19, 1, False]])
         self.answer = Success({"results": ["overtaken", "silent"]})
         self.assertEqual(self.send(), [OvertakenGrantError, UnansweredError])
 
-    def test_what_was_not_sent_is_not_in_doubt(self):
+    def test_unsent_renewals_are_not_in_doubt(self):
         self.answer = Success({"results": ["done"]})
         self.assertEqual(self.send(), [None, NotSentError])
         self.answer = Failure(NotSentError("refused"))
         self.assertEqual(self.send(), [NotSentError, NotSentError])
 
-    def test_a_message_is_sent_again_under_a_newer_reading(self):
-        """Guards against keys that nobody renews while a reading is missing or old."""
+    def test_message_is_resent_with_newer_clock_reading(self):
+        """Otherwise no daemon renews keys while a reading is missing or old."""
         for known in (None, 100.0):
             self.messages.clear()
             self.leadership.clock_reading_of = lambda relay, known=known: known
@@ -186,17 +186,17 @@
             sent = [message["clock_ms"] for message in self.messages]
             self.assertEqual(sent, [known, 9000.0])
 
-    def test_a_relay_whose_clock_is_never_right_has_sent_none(self):
+    def test_relay_that_rejects_all_clock_readings_sent_nothing(self):
         self.answer = Success({"clock_ms": 9000.0})
         self.assertEqual(self.send(), [NotSentError, NotSentError])
         self.assertEqual(len(self.messages), 2)
 
-    def test_a_relay_without_a_connection_has_sent_none(self):
+    def test_relay_without_connection_sent_nothing(self):
         self.answer = Success({"results": ["no connection"]})
         self.assertEqual(self.send(), [NoConnectionError, NoConnectionError])
 
-    def test_what_was_left_out_after_a_silence_needs_no_new_token(self):
-        """Guards against a range that was not sent and counts as unconnected."""
+    def test_renewals_after_unanswered_one_are_not_unconnected(self):
+        """A renewal that was not sent must not count as one without a connection."""
         self.answer = Success({"results": ["no connection"]})
         self.assertEqual(self.send(), [NoConnectionError] * 2)
         self.answer = Success({"results": ["silent"]})
@@ -207,11 +207,11 @@
         kinds = [type(result.failure()) for result in results]
         self.assertEqual(kinds, [NoConnectionError, UnansweredError, NotSentError])
 
-    def test_without_an_answer_everything_is(self):
+    def test_unanswered_message_leaves_all_in_doubt(self):
         self.answer = Failure(UnansweredError("no answer"))
         self.assertEqual(self.send(), [UnansweredError, UnansweredError])
 
-    def test_a_relay_that_failed_is_passed_over_for_a_while(self):
+    def test_failed_relay_is_excluded_for_some_time(self):
         first = self.relays.pick("s1")
         self.answer = Failure(UnansweredError("no answer"))
         self.send()
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -1,4 +1,4 @@
-"""What callers get while servers and keys change, with exchanges that are scripted."""
+"""Responses to callers while servers and keys change, with scripted exchanges."""
 
 import types
 import unittest
@@ -29,30 +29,30 @@
 
 OK = Success(Answer(200, (("Mark", "1"),), b"whole"))
 SHED = Success(Answer(503, (("Shed", "1"),), b""))
-WRONG = Success(Answer(421, (("Shed", "1"),), b""))
-BROKEN = Success(Answer(500, (("Mark", "1"),), b"oops"))
-FORGED = Success(Answer(200, (), b"whose?"))
-SILENT = Failure(UnansweredError("connection closed"))
-UNREACHED = Failure(NotSentError("timed out"))
+MISDIRECTED = Success(Answer(421, (("Shed", "1"),), b""))
+SERVER_ERROR = Success(Answer(500, (("Mark", "1"),), b"oops"))
+UNMARKED = Success(Answer(200, (), b"whose?"))
+UNANSWERED = Failure(UnansweredError("connection closed"))
+UNREACHABLE = Failure(NotSentError("timed out"))
 
 
 class Dialect:
-    """Facts as plain headers."""
+    """Reads and writes request and response facts as plain headers."""
 
     echoed_headers = ()
 
     def read_request(self, headers):
-        """Return what a caller says."""
+        """Return the facts of a caller's request."""
         found = dict(headers)
         key = found.get("key")
         return RequestFacts("r1", "h", 1000.0, int(key) if key else None)
 
     def server_headers(self, headers, server, left_ms):
-        """Return nothing more."""
+        """Return a header that names the server."""
         return [("server", server)]
 
     def read_answer(self, answer):
-        """Return what a server says."""
+        """Return the facts of a server's response."""
         return AnswerFacts(
             not_run=bool(answer.header("Shed")),
             misdirected=answer.status == 421,
@@ -60,12 +60,12 @@
         )
 
     def refusal_headers(self, request_id, retry_after_s):
-        """Return the time to come back."""
+        """Return the Retry-After header, if any."""
         return [] if retry_after_s is None else [("Retry-After", str(retry_after_s))]
 
 
 class RouterTest(unittest.TestCase):
-    """Three servers of a shared service, two of a divided one."""
+    """Three servers of a shared service, and two of a divided one."""
 
     def setUp(self):
         clock = Clock()
@@ -89,7 +89,7 @@
         ):
             server = BackendServer(name, 1, service, f"{name}:80", "a", 3)
             self.view.directory.take(server)
-        self.script, self.sent = {}, []
+        self.scripted, self.sent = {}, []
         pools = types.SimpleNamespace(at=self.pool_at)
         self.router = Router(
             self.view,
@@ -101,25 +101,25 @@
             RequestMeter(),
             clock,
         )
-        self.own("p1")
+        self.assign_all("p1")
 
-    def own(self, owner, token=1, old_owner=""):
-        """Give all keys to a server of the divided service."""
+    def assign_all(self, owner, token=1, old_owner=""):
+        """Assign all keys to a server of the divided service."""
         item = KeyRange(0, N_KEYS - 1, owner, 1, token, old_owner, 1, token - 2)
         self.view.take_table(RangeTable("parts", (item,)), token)
 
     def pool_at(self, address):
-        """Return what stands for the connections to a server."""
+        """Return a stand-in for the connections to a server."""
         name = address.partition(":")[0]
 
         def exchange(method, target, headers, body, timeout_ms, is_wanted):
             self.sent.append(name)
-            answers = self.script.get(name) or self.script.get("all") or [OK]
+            answers = self.scripted.get(name) or self.scripted.get("all") or [OK]
             return answers.pop(0) if len(answers) > 1 else answers[0]
 
         return types.SimpleNamespace(exchange=exchange)
 
-    def ask(self, path, key=None):
+    def send_request(self, path, key=None):
         """Return the status and headers that a caller gets."""
         headers = [("key", str(key))] if key is not None else []
         environ = {
@@ -128,134 +128,137 @@
             HEADERS_KEY: headers,
             TARGET_KEY: path,
         }
-        got = []
-        self.router(environ, lambda status, headers: got.append((status, headers)))
-        status, headers = got[0]
+        responses = []
+        self.router(
+            environ, lambda status, headers: responses.append((status, headers))
+        )
+        status, headers = responses[0]
         return int(status[:3]), dict(headers)
 
-    def test_a_shed_request_goes_to_another_server(self):
-        self.script["all"] = [SHED, OK]
-        self.assertEqual(self.ask("/once/")[0], 200)
+    def test_shed_request_is_sent_to_another_server(self):
+        self.scripted["all"] = [SHED, OK]
+        self.assertEqual(self.send_request("/once/")[0], 200)
         self.assertEqual(len(set(self.sent)), 2)
 
-    def test_all_servers_shed(self):
-        self.script["all"] = [SHED]
-        status, headers = self.ask("/safe/")
+    def test_all_servers_shed_request(self):
+        self.scripted["all"] = [SHED]
+        status, headers = self.send_request("/safe/")
         self.assertEqual(status, 503)
         self.assertGreater(float(headers["Retry-After"]), 0.0)
         self.assertLessEqual(len(self.sent), 3)
 
-    def test_an_answer_that_never_came(self):
-        """Nobody knows whether it ran: only what may be repeated is sent again."""
-        self.script["all"] = [SILENT, OK]
-        self.assertEqual(self.ask("/safe/")[0], 200)
-        self.script["all"] = [SILENT, OK]
+    def test_unanswered_request_is_retried_only_if_idempotent(self):
+        """It is unknown whether the request ran."""
+        self.scripted["all"] = [UNANSWERED, OK]
+        self.assertEqual(self.send_request("/safe/")[0], 200)
+        self.scripted["all"] = [UNANSWERED, OK]
         self.sent.clear()
-        status, headers = self.ask("/once/")
+        status, headers = self.send_request("/once/")
         self.assertEqual((status, len(self.sent)), (502, 1))
         self.assertNotIn("Retry-After", headers)
 
-    def test_no_refusal_says_not_run_after_a_try_that_may_have_run(self):
-        self.script["all"] = [SILENT, SHED]
-        self.assertEqual(self.ask("/safe/")[0], 502)
+    def test_no_not_run_after_attempt_that_may_have_run(self):
+        self.scripted["all"] = [UNANSWERED, SHED]
+        self.assertEqual(self.send_request("/safe/")[0], 502)
 
-    def test_an_answer_without_the_servers_mark_reaches_nobody(self):
-        self.script["all"] = [FORGED]
-        self.assertEqual(self.ask("/once/")[0], 502)
-        self.assertEqual(self.ask("/safe/")[0], 502)
+    def test_response_without_server_mark_is_rejected(self):
+        self.scripted["all"] = [UNMARKED]
+        self.assertEqual(self.send_request("/once/")[0], 502)
+        self.assertEqual(self.send_request("/safe/")[0], 502)
 
-    def test_a_failure_of_the_server_is_tried_once_more_if_that_is_harmless(self):
-        self.script["all"] = [BROKEN, OK]
-        self.assertEqual(self.ask("/safe/")[0], 200)
-        self.script["all"] = [BROKEN, OK]
-        self.assertEqual(self.ask("/once/")[0], 500)
+    def test_server_error_is_retried_only_if_idempotent(self):
+        self.scripted["all"] = [SERVER_ERROR, OK]
+        self.assertEqual(self.send_request("/safe/")[0], 200)
+        self.scripted["all"] = [SERVER_ERROR, OK]
+        self.assertEqual(self.send_request("/once/")[0], 500)
 
-    def test_a_server_that_is_not_reached_is_passed_over(self):
-        self.script["s1"] = [UNREACHED]
+    def test_unreachable_server_is_avoided(self):
+        self.scripted["s1"] = [UNREACHABLE]
         for _ in range(6):
-            self.assertEqual(self.ask("/once/")[0], 200)
+            self.assertEqual(self.send_request("/once/")[0], 200)
         self.assertLessEqual(self.sent.count("s1"), 1)
 
-    def test_further_sends_stay_within_the_budget(self):
-        """Every server sheds: callers' requests must not be multiplied."""
-        self.script["all"] = [SHED]
+    def test_retries_stay_within_budget(self):
+        """Every server sheds requests; retries must not multiply callers' requests."""
+        self.scripted["all"] = [SHED]
         for _ in range(50):
-            self.ask("/safe/")
+            self.send_request("/safe/")
         self.assertLess(len(self.sent), 50 * 1.12 + 6)
 
-    def test_the_owner_gets_what_is_about_its_keys(self):
-        self.assertEqual(self.ask("/keyed/", 7)[0], 200)
+    def test_request_with_key_goes_to_owner(self):
+        self.assertEqual(self.send_request("/keyed/", 7)[0], 200)
         self.assertEqual(self.sent, ["p1"])
-        self.assertEqual(self.ask("/keyed/")[0], 400)
+        self.assertEqual(self.send_request("/keyed/")[0], 400)
 
-    def test_a_new_owner_is_asked_when_the_store_is_slow_to_name_it(self):
-        """A range had been granted, and callers were refused for 600 ms more.
+    def test_new_owner_is_used_before_store_records_it(self):
+        """The leader's write that a range has moved had no response from the store.
 
-        The leader's write that it had arrived had no answer from the store; until the
-        next one all daemons took the keys to be on their way.
+        Until its next write all daemons took the range to be moving, and callers were
+        refused for another 600 ms although the range had been granted.
         """
-        self.own("p2", token=3, old_owner="p1")
-        self.assertEqual(self.ask("/keyed/", 7)[0], 200)
+        self.assign_all("p2", token=3, old_owner="p1")
+        self.assertEqual(self.send_request("/keyed/", 7)[0], 200)
         self.assertEqual(self.sent, ["p2"])
 
-    def test_an_owner_that_has_no_grant_yet_costs_nobody_a_false_answer(self):
-        self.own("p2", token=3, old_owner="p1")
-        self.script["p2"] = [WRONG]
-        status, headers = self.ask("/keyed/", 7)
+    def test_owner_without_grant_causes_retryable_refusal(self):
+        self.assign_all("p2", token=3, old_owner="p1")
+        self.scripted["p2"] = [MISDIRECTED]
+        status, headers = self.send_request("/keyed/", 7)
         self.assertEqual(status, 503)
         self.assertGreater(float(headers["Retry-After"]), 0.0)
 
-    def test_keys_without_an_owner_are_refused_at_once(self):
+    def test_keys_without_owner_are_refused(self):
         self.view.directory.lose("p1")
-        status, headers = self.ask("/keyed/", 7)
+        status, headers = self.send_request("/keyed/", 7)
         self.assertEqual((status, self.sent), (503, []))
         self.assertGreater(float(headers["Retry-After"]), 0.0)
 
-    def test_refused_requests_count_as_work_for_their_key(self):
+    def test_refused_requests_count_as_load_of_their_key(self):
         """A third of all requests are for the keys of one range; most are refused.
 
-        Its owner looked no busier than a server can be, and for seconds only one range
-        at a time was moved away.
+        Without their load the owner would look no busier than a server can be, and for
+        seconds only one range at a time would move away.
         """
         self.router.loads.take_told({"p1": 60}, self.router.clock.now_ms())
-        self.assertEqual(self.ask("/keyed/", 7)[0], 503)
+        self.assertEqual(self.send_request("/keyed/", 7)[0], 503)
         told = self.view.work.take(self.view.tables)
         self.assertEqual(told["parts"][7][0], 1)
         self.assertGreater(told["parts"][7][1], 10)
 
-    def test_keys_whose_move_takes_long_hold_nobody_up(self):
-        """An owner vanished, and only time proves that it has let go.
+    def test_slow_move_delays_only_one_request(self):
+        """An owner has vanished, and its keys are free only once its grants expire.
 
-        For seven seconds each request for its keys waited 200 ms and was then refused
-        by the next owner, which had no grant yet. One waits; the others are told.
+        For seven seconds each request for its keys would wait 200 ms and then be
+        refused by the next owner, which has no grant yet. Only one request waits; the
+        others are refused at once.
         """
-        self.own("p2", 5, "p1")
-        self.script["p2"] = [WRONG]
+        self.assign_all("p2", 5, "p1")
+        self.scripted["p2"] = [MISDIRECTED]
         began_ms = self.router.clock.now_ms()
-        self.assertEqual(self.ask("/keyed/", 7)[0], 503)
+        self.assertEqual(self.send_request("/keyed/", 7)[0], 503)
         n_sent, first_ms = len(self.sent), self.router.clock.now_ms() - began_ms
         self.assertGreater(first_ms, 150.0)
         for key in range(5):
-            status, headers = self.ask("/keyed/", key)
+            status, headers = self.send_request("/keyed/", key)
             self.assertEqual(status, 503)
             self.assertGreater(float(headers["Retry-After"]), 0.1)
         self.assertLess(self.router.clock.now_ms() - began_ms, first_ms + 100.0)
         self.assertEqual(len(self.sent), n_sent)
-        self.script["p2"] = [OK]
-        self.own("p2", 6)
-        self.assertEqual(self.ask("/keyed/", 7)[0], 200)
+        self.scripted["p2"] = [OK]
+        self.assign_all("p2", 6)
+        self.assertEqual(self.send_request("/keyed/", 7)[0], 200)
 
-    def test_cold_servers_get_nothing_while_others_are_warm(self):
+    def test_cold_servers_are_avoided_while_others_are_warm(self):
         self.view.directory.note_cold("s1", 60_000.0)
         self.view.directory.note_cold("s2", 60_000.0)
         for _ in range(20):
-            self.assertEqual(self.ask("/once/")[0], 200)
+            self.assertEqual(self.send_request("/once/")[0], 200)
         self.assertEqual(set(self.sent), {"s3"})
 
-    def test_cold_servers_get_little_if_there_are_no_others(self):
+    def test_cold_servers_get_limited_load(self):
         self.view.daemons = {f"d{i}": "" for i in range(8)}
         for name in ("s1", "s2", "s3"):
             self.view.directory.note_cold(name, 60_000.0)
-        statuses = [self.ask("/once/")[0] for _ in range(60)]
+        statuses = [self.send_request("/once/")[0] for _ in range(60)]
         self.assertEqual(set(statuses) - {200, 503}, set())
         self.assertLessEqual(statuses.count(200), 6)
