--- a/src/tarragonramp/ranges.py
+++ b/src/tarragonramp/ranges.py
@@ -1,4 +1,4 @@
-"""Who owns which keys: ranges of numeric keys with owners and fencing tokens."""
+"""Ownership of key ranges: owners and fencing tokens of ranges of numeric keys."""
 
 import bisect
 import collections
@@ -12,48 +12,48 @@
 __all__ = ["KeyRange", "RangeTable", "TableHistory", "even_bounds", "fence_token"]
 
 GAP = 1 << 16
-"""By how much a move raises the token. Those between fence the old owner: given to it
-before its release, they make it refuse grants of lower tokens that are still on their
-way. Each try needs one above the last, as an unanswered one may be on its way, too."""
+"""How much a move raises the fencing token. The values in between are used to fence the
+old owner before its release, so that it refuses delayed grants with lower tokens. Each
+attempt needs a higher token than the last, because an unanswered attempt may still be
+delivered."""
 
-FENCES_A_TERM = 8
-"""Tries that one leader has for a move; its successors' are above them."""
+MAX_FENCES_PER_TERM = 8
+"""Fencing attempts that one leader has per move. Later terms use higher tokens."""
 
 
 def fence_token(old_token, term, attempt):
-    """Return the token of a try to fence an old owner; None if there are no more.
+    """Return the token for an attempt to fence an old owner, or None if none is left.
 
     Parameters
     ----------
     old_token : int
-        Under which it has the keys.
+        Token under which the old owner holds the keys.
     term : int
-        Of the leader.
+        Term of the leader.
     attempt : int
-        How many it has made for this move.
+        Number of attempts that the leader has already made for this move.
     """
-    if attempt >= FENCES_A_TERM:
+    if attempt >= MAX_FENCES_PER_TERM:
         return None
-    return old_token + 1 + (term * FENCES_A_TERM + attempt) % (GAP - 1)
+    return old_token + 1 + (term * MAX_FENCES_PER_TERM + attempt) % (GAP - 1)
 
 
 @attrs.frozen
 class KeyRange:
-    """Neighbouring keys with one owner.
+    """A contiguous range of keys with one owner.
 
     Parameters
     ----------
     first, last : int
-        Both inclusive.
+        First and last key, both inclusive.
     owner : str
-        Empty while nobody has been given the keys.
+        Empty until the range is assigned for the first time.
     life : int
-        The owner's life.
+        Start time of the owner's process.
     token : int
-        Fencing token of the latest owner, or of the one it is moving to.
+        Fencing token of the current owner, or of the new owner during a move.
     old_owner, old_life, old_token : str, int, int
-        Set while the range is on its way from an earlier owner, which may still
-        hold it.
+        Set while the range is being moved: the previous owner may still hold it.
     """
 
     first: int
@@ -67,19 +67,18 @@
 
     @property
     def is_moving(self):
-        """Whether an earlier owner may still hold the keys."""
+        """Whether the previous owner may still hold the keys."""
         return bool(self.old_owner)
 
     @property
     def n_keys(self):
-        """How many keys there are."""
         return self.last - self.first + 1
 
     def moved_to(self, owner, life):
-        """Return the range on its way to another owner.
+        """Return the range as being moved to another owner.
 
-        Only for one that is settled: of one on its way the earlier owner, which may
-        still hold it, would be forgotten.
+        Must not be called on a range that is already being moved: its previous owner,
+        which may still hold the keys, would be lost.
         """
         return KeyRange(
             self.first,
@@ -93,111 +92,113 @@
         )
 
     def raised(self):
-        """Return the range under a token that its owner has not had, in any life."""
+        """Return the range with a token that no process of its owner has had."""
         return attrs.evolve(self, token=self.token + GAP)
 
-    def is_as_for_requests(self, other):
-        """Tell whether requests go where they do by another state of the range.
+    def has_same_routing(self, other):
+        """Tell whether another state of the range routes requests in the same way.
 
-        A token matters only to whoever grants; daemons that route need not hear of it.
+        The token only matters for granting, so daemons that route requests need not be
+        notified when it alone changes.
         """
         if self.is_moving or other.is_moving:
             return self == other
         return attrs.evolve(self, token=other.token) == other
 
     def settled(self):
-        """Return the range with its earlier owner forgotten."""
+        """Return the range with its move completed."""
         return attrs.evolve(self, old_owner="", old_life=0, old_token=0)
 
 
 @attrs.define(eq=False, repr=False)
 class RangeTable:
-    """The ranges of one service, in the order of their keys.
+    """The ranges of one service, ordered by key.
 
     Parameters
     ----------
     service : str
     ranges : tuple of KeyRange
     addresses : dict of str to str
-        Where the owners are, also those whose entries are gone.
-    n_dealt : int
-        Into how many even ranges all keys were divided before some were cut; 0 for a
-        table that is no whole one.
+        Addresses of the owners, including those that are no longer registered.
+    n_initial : int
+        Number of equal ranges into which the key space was divided initially, before
+        any range was split; 0 for a table that does not cover all keys.
     """
 
     service: str
     ranges: tuple[KeyRange, ...] = ()
     addresses: dict = attrs.Factory(dict)
-    n_dealt: int = 0
+    n_initial: int = 0
     _firsts: list = attrs.field(init=False)
 
     def __attrs_post_init__(self):
-        """Index the ranges."""
         self._firsts = [item.first for item in self.ranges]
 
     def find(self, key):
-        """Return the KeyRange of a key, or None."""
+        """Return the KeyRange that contains a key, or None."""
         at = bisect.bisect_right(self._firsts, key) - 1
         if at < 0 or self.ranges[at].last < key:
             return None
         return self.ranges[at]
 
     def with_ranges(self, changed, addresses=()):
-        """Return a table in which newer ranges stand in place of those they cover.
+        """Return a table in which newer ranges replace the ranges that they cover.
 
         Parameters
         ----------
         changed : iterable of KeyRange
-            The pieces of a range that was cut come all together.
+            If a range was split, all of its pieces.
         addresses : dict of str to str
-            Of new owners.
+            Addresses of new owners.
 
         Raises
         ------
         ValueError
-            If they leave keys without a range, or reach into others.
+            If the new ranges leave a gap or overlap other ranges.
         """
         changed = list(changed)
-        replaced = {at for item in changed for at in self._covered(item)}
+        replaced = {at for item in changed for at in self._overlapping_indexes(item)}
         n_before = sum(self.ranges[at].n_keys for at in replaced)
         if n_before != sum(item.n_keys for item in changed):
-            raise ValueError("ranges do not fit in place of the earlier ones")
+            raise ValueError(
+                "new ranges do not cover the same keys as those they replace"
+            )
         ranges = [r for at, r in enumerate(self.ranges) if at not in replaced]
         ranges = tuple(sorted(ranges + changed, key=lambda item: item.first))
         named = {n for r in ranges for n in (r.owner, r.old_owner)}
         known = {**self.addresses, **dict(addresses)}
         kept = {name: known[name] for name in named if name in known}
-        return RangeTable(self.service, ranges, kept, self.n_dealt)
+        return RangeTable(self.service, ranges, kept, self.n_initial)
 
-    def _covered(self, item):
-        """Return the indexes of the ranges that share keys with another one."""
+    def _overlapping_indexes(self, item):
+        """Return the indexes of the ranges that overlap another range."""
         begin = max(0, bisect.bisect_right(self._firsts, item.first) - 1)
         return range(begin, bisect.bisect_right(self._firsts, item.last))
 
-    def changed_from(self, earlier):
-        """Return a table of only those ranges that differ from an earlier one's.
+    def difference_from(self, earlier):
+        """Return a table of only the ranges that differ from an earlier table.
 
         Returns
         -------
         changed : RangeTable
-            For ``earlier.with_ranges(changed.ranges, changed.addresses)``, which is
-            this table again, but for raised tokens: a leader reads these in the store.
+            ``earlier.with_ranges(changed.ranges, changed.addresses)`` gives this table
+            again, except for raised tokens, which a leader reads from the store.
         """
         before = {item.first: item for item in earlier.ranges}
         pairs = ((before.get(item.first), item) for item in self.ranges)
         ranges = tuple(
             new
             for old, new in pairs
-            if old is not new and (old is None or not new.is_as_for_requests(old))
+            if old is not new and (old is None or not new.has_same_routing(old))
         )
         return RangeTable(self.service, ranges, self.addresses)
 
     def to_spec(self):
-        """Return the table as plain data for the store.
+        """Return the table as JSON-compatible data for the store.
 
-        By column, and of the bounds of a whole table only the cuts: each move writes
-        the table twice, and others read it, over links that are paid for. A row for
-        each range made it three times as long.
+        Stored by column; of the bounds of a complete table, only the split points. Each
+        move writes the table twice and other daemons read it over metered links, and
+        one row per range is three times as long.
         """
         owners = {(r.owner, r.life) for r in self.ranges}
         owners |= {(r.old_owner, r.old_life) for r in self.ranges if r.is_moving}
@@ -218,93 +219,93 @@
 
     def _bounds_spec(self):
         bounds = [(r.first, r.last) for r in self.ranges]
-        n_dealt = self.n_dealt or len(bounds)
-        starts = _even_starts(n_dealt)
+        n_initial = self.n_initial or len(bounds)
+        starts = _even_starts(n_initial)
         cuts = [first for first in self._firsts if first not in starts]
-        if bounds == _cut_bounds(n_dealt, cuts):
-            return {"bounds": n_dealt, "cuts": cuts}
+        if bounds == _split_bounds(n_initial, cuts):
+            return {"bounds": n_initial, "cuts": cuts}
         return {"bounds": bounds}
 
     @classmethod
     def from_spec(cls, spec):
-        """Return the table that plain data of the store describe.
+        """Return the table for JSON-compatible data from the store.
 
         Raises
         ------
         ValueError
-            If they do not.
+            If the data does not describe a table.
         """
         try:
             owners = [(name, life) for name, life, _ in spec["servers"]]
             addresses = {name: address for name, _, address in spec["servers"]}
-            bounds, n_dealt = spec["bounds"], 0
+            bounds, n_initial = spec["bounds"], 0
             if isinstance(bounds, int):
-                n_dealt = bounds
-                bounds = _cut_bounds(n_dealt, spec.get("cuts", ()))
+                n_initial = bounds
+                bounds = _split_bounds(n_initial, spec.get("cuts", ()))
             moving = {at: (*owners[old], token) for at, old, token in spec["moving"]}
             rows = zip(bounds, spec["owners"], spec["tokens"], strict=True)
             ranges = tuple(
                 KeyRange(first, last, *owners[owner], token, *moving.get(at, ()))
                 for at, ((first, last), owner, token) in enumerate(rows)
             )
-            return cls(spec["service"], ranges, addresses, n_dealt)
+            return cls(spec["service"], ranges, addresses, n_initial)
         except (KeyError, IndexError, TypeError, ValueError) as error:
-            raise ValueError(f"no range table: {error!r}") from error
+            raise ValueError(f"invalid range table: {error!r}") from error
 
 
 def even_bounds(n_ranges):
-    """Return first and last key of each of some ranges that divide all keys evenly."""
+    """Return the first and last key of each of some equal ranges of the key space."""
     starts = [N_KEYS * at // max(1, n_ranges) for at in range(n_ranges + 1)]
     return [(first, end - 1) for first, end in itertools.pairwise(starts)]
 
 
-def _cut_bounds(n_dealt, cuts):
-    """Return first and last key of even ranges some of which are cut before keys."""
+def _split_bounds(n_initial, cuts):
+    """Return the bounds of equal ranges of which some are split before given keys."""
     if not cuts:
-        return even_bounds(n_dealt)
-    ordered = [*sorted(_even_starts(n_dealt).union(cuts)), N_KEYS]
+        return even_bounds(n_initial)
+    ordered = [*sorted(_even_starts(n_initial).union(cuts)), N_KEYS]
     return [(first, end - 1) for first, end in itertools.pairwise(ordered)]
 
 
 @functools.lru_cache(maxsize=64)
-def _even_starts(n_dealt):
-    """Return the first keys of some ranges that divide all keys evenly."""
-    return frozenset(first for first, _ in even_bounds(n_dealt))
+def _even_starts(n_initial):
+    """Return the first keys of ``n_initial`` equal ranges of the key space."""
+    return frozenset(first for first, _ in even_bounds(n_initial))
 
 
-KEPT_TABLES = 32
-"""Versions of a table that are kept. Load: many moves, each written twice, while each
-daemon is heard every half second. One that has missed more gets the whole table."""
+MAX_TABLE_VERSIONS = 32
+"""Versions of each table that are kept. Each move is written twice and daemons ask for
+updates every half second; a daemon that is further behind gets the whole table."""
 
 
 @attrs.define(eq=False, repr=False)
 class TableHistory:
-    """The latest versions of all tables, to pass on only what has changed.
+    """The latest versions of all tables, for sending only the differences.
 
-    Load: busy keys move, each time two writes, and every daemon has to know. Harm
-    prevented: a table of some kilobytes to each daemon for each range that moved, which
-    was two thirds of what daemons told each other on a calm day with 9 daemons.
+    Without it, every daemon is sent a table of several kilobytes for each range that
+    moves; with 9 daemons and little load that was two thirds of the traffic between
+    daemons.
     """
 
     _versions: dict = attrs.Factory(dict)
     _changes: dict = attrs.Factory(dict)
 
     def note(self, table, version):
-        """Take in a service's table as the store had it at a version."""
+        """Record a service's table as the store had it at a version."""
         kept = self._versions.setdefault(
-            table.service, collections.deque(maxlen=KEPT_TABLES)
+            table.service, collections.deque(maxlen=MAX_TABLE_VERSIONS)
         )
         if not kept or kept[-1][0] < version:
             kept.append((version, table))
 
     def changes(self, service, since_version):
-        """Return what has changed for a daemon that knows the store up to a version.
+        """Return the changes for a daemon that has read the store up to a version.
 
         Returns
         -------
         base_version, spec : int, dict
-            The version of the table that the daemon should have, and the ranges that
-            differ from it; None if the whole table has to be sent.
+            The version of the table that the daemon should have and the ranges that
+            differ from it; None if the whole table must be sent.
         """
         kept = self._versions.get(service, ())
         known = [entry for entry in kept if entry[0] <= since_version]
@@ -313,7 +314,7 @@
         (base_version, base), (version, table) = known[-1], kept[-1]
         key = service, base_version, version
         if key not in self._changes:
-            if len(self._changes) >= KEPT_TABLES:
+            if len(self._changes) >= MAX_TABLE_VERSIONS:
                 self._changes.clear()
-            self._changes[key] = table.changed_from(base).to_spec()
+            self._changes[key] = table.difference_from(base).to_spec()
         return base_version, self._changes[key]
