--- a/src/tarragonramp/leases.py
+++ b/src/tarragonramp/leases.py
@@ -1,9 +1,9 @@
-"""Grants of one backend server, as its steward accounts for them.
+"""Accounting of the grants that a steward has sent to one backend server.
 
-A grant ends at a reading of the server's own monotonic clock. A server that
-freezes and thaws may read an old renewal from its socket buffer; a duration
-counted from receipt would then give it a lease nobody meant. An absolute end on
-its own clock has passed by then.
+A grant ends at a reading of the server's own monotonic clock. A server that is paused
+and resumed may read an old renewal from its socket buffer; a duration counted from
+receipt would extend its lease by mistake, while an absolute end on its own clock has
+passed by then.
 """
 
 import attrs
@@ -11,24 +11,24 @@
 __all__ = ["Grant", "GrantLedger", "ServerAnswer"]
 
 CLOCK_RATE_MARGIN = 0.002
-"""Two clocks that each run within 1 in 1000 of true time differ by this at most."""
+"""Bound on the relative rate difference of two clocks, each accurate to 1 in 1000."""
 
 END_MARGIN_MS = 5.0
-"""Rounding and scheduling between reading a clock and acting on it."""
+"""Allowance for rounding and scheduling between reading a clock and acting on it."""
 
 
 @attrs.frozen
 class ServerAnswer:
-    """What a backend server says about itself in every control answer.
+    """State that a backend server reports in every control response.
 
     Parameters
     ----------
     boot_id : str
-        New with every start of the server.
+        Changes with every start of the server.
     clock_ms : float
-        The server's monotonic clock when it answered.
+        Reading of the server's monotonic clock at the time of the response.
     term, sequence : int
-        Of the latest grant that it accepted.
+        Term and sequence number of the latest grant that it accepted.
     accepted : bool
         False if it refused the grant in the request.
     cold : bool
@@ -50,15 +50,15 @@
     Parameters
     ----------
     term : int
-        Term of the steward that gives it.
+        Term of the steward that sends the grant.
     sequence : int
-        Grows with every change of slices within the term.
+        Increases within the term with every change of the set of slices.
     boot_id : str
-        The only process of the server that it is meant for.
+        The server process that the grant is valid for.
     tokens : dict of int to int
         Fencing token of each slice.
     until_ms : float
-        End, on the server's clock.
+        End of the grant on the server's clock.
     """
 
     term: int
@@ -69,14 +69,14 @@
 
 
 @attrs.define
-class _Reading:
+class _ClockReading:
     clock_ms: float
     sent_ms: float
     arrived_ms: float
 
 
 @attrs.define
-class _SentSet:
+class _SentGrant:
     sequence: int
     boot_id: str
     tokens: dict[int, int]
@@ -92,18 +92,19 @@
     term : int
         The steward's term.
     grant_ms : float
-        Length of a grant.
+        Duration of a grant.
     inherited_end_ms : float or None
-        On the steward's clock, when grants of earlier stewards have surely run
-        out if the server stays silent. None: time alone does not prove it.
+        When all grants of earlier stewards have expired even if the server does not
+        answer, on the steward's clock. None if waiting cannot prove it.
     earlier_right_ends_ms : float
-        On the steward's clock, when no earlier steward has a right any more.
+        When no earlier steward may send grants any more, on the steward's clock.
     boot_id : str
-        Of the server's process that answered last.
+        Boot id in the server's latest response.
     acknowledged_sequence : int
-        The latest grant of this term that this process of the server accepted.
+        Sequence number of the latest grant of this term that the current server process
+        accepted.
     superseded : bool
-        Whether the server has shown a higher term.
+        Whether the server has reported a higher term.
     """
 
     term: int
@@ -116,79 +117,82 @@
     _fenced: bool = False
     _granted_boot_id: str = ""
     _sequence: int = 0
-    _reading: _Reading | None = None
-    _sent: list[_SentSet] = attrs.Factory(list)
-    _waiting: bool = False
-    _until_before_ms: float = 0.0
+    _reading: _ClockReading | None = None
+    _sent: list[_SentGrant] = attrs.Factory(list)
+    _awaiting_answer: bool = False
+    _previous_until_ms: float = 0.0
 
     @property
     def in_doubt(self):
-        """Whether the latest grant sent has neither been answered nor given up."""
-        return self._waiting
+        """Whether the latest grant sent has neither been answered nor written off."""
+        return self._awaiting_answer
 
     @property
     def fenced(self):
-        """Whether no earlier steward can get any grant to the server any more."""
+        """Whether the server refuses all grants of earlier stewards from now on."""
         return self._fenced
 
     def next_grant(self, tokens, now_ms, known_process_only=False):
-        """Prepare a grant and account for it as if it had arrived.
+        """Prepare a grant and record it as if it had been delivered.
 
-        While a grant is unanswered no later end is handed out: a frozen server
-        would hold each of them in its socket buffer and keep its keys longer.
+        No later end is sent while a grant is unanswered: a paused server would find all
+        of these grants in its socket buffer and keep its keys for longer.
 
         Parameters
         ----------
         tokens : dict of int to int
-            Fencing token of each slice that the server shall own.
+            Fencing token of each slice that the server is to own.
         now_ms : float
             The steward's clock.
         known_process_only : bool, default=False
-            Grant only to the process of the server that was granted to before.
+            Send a grant only to the server process that the previous grant was for.
 
         Returns
         -------
         grant : Grant or None
-            None as long as the server's clock has not been read, a grant is in
-            doubt, or the server refuses this steward.
+            None if the server's clock has not been read yet, a grant is unanswered, or
+            the server refuses this steward.
         """
-        if self._reading is None or self._waiting or self.superseded:
+        if self._reading is None or self._awaiting_answer or self.superseded:
             return None
         if known_process_only and self.boot_id != self._granted_boot_id:
             return None
         self._granted_boot_id = self.boot_id
         if not self._sent or self._sent[-1].tokens != tokens:
             self._sequence += 1
-            self._sent.append(_SentSet(self._sequence, self.boot_id, dict(tokens), 0.0))
-        until_ms = self._earliest_server_clock(now_ms) + self.grant_ms
+            self._sent.append(
+                _SentGrant(self._sequence, self.boot_id, dict(tokens), 0.0)
+            )
+        until_ms = self._min_server_clock_ms(now_ms) + self.grant_ms
         latest = self._sent[-1]
-        self._until_before_ms = latest.until_ms
+        self._previous_until_ms = latest.until_ms
         latest.until_ms = max(latest.until_ms, until_ms)
-        self._waiting = True
+        self._awaiting_answer = True
         return Grant(self.term, latest.sequence, self.boot_id, latest.tokens, until_ms)
 
     def observe(self, answer, sent_ms, arrived_ms):
-        """Take in any control answer of the server.
+        """Process a control response of the server.
 
         Parameters
         ----------
         answer : ServerAnswer
         sent_ms, arrived_ms : float
-            The steward's clock before the request left and after the answer came.
+            The steward's clock before the request was sent and after the response
+            arrived.
 
         Returns
         -------
         restarted : bool
             True if the server is a new process.
         """
-        self._waiting = False
+        self._awaiting_answer = False
         restarted = bool(self.boot_id) and answer.boot_id != self.boot_id
         if answer.boot_id != self.boot_id:
-            # The earlier process is gone, and every grant names its boot id.
+            # The previous process has ended, and every grant is bound to its boot id.
             self._sent.clear()
             self.acknowledged_sequence = 0
             self.boot_id = answer.boot_id
-        self._reading = _Reading(answer.clock_ms, sent_ms, arrived_ms)
+        self._reading = _ClockReading(answer.clock_ms, sent_ms, arrived_ms)
         self.superseded = self.superseded or answer.term > self.term
         own = answer.term == self.term and 0 < answer.sequence <= self._sequence
         if own and answer.sequence >= self.acknowledged_sequence:
@@ -198,10 +202,10 @@
         return restarted
 
     def moved(self, now_ms):
-        """Note that the server's name now stands for another address.
+        """Record that the server's name now refers to another address.
 
-        Nothing that answers there speaks for the process at the old one, so its
-        grants have to run out by the clock.
+        A response from the new address proves nothing about the process at the old one,
+        so the grants of that process have to expire.
 
         Parameters
         ----------
@@ -216,70 +220,70 @@
         self.boot_id = ""
         self._granted_boot_id = ""
         self._reading = None
-        self._waiting = False
+        self._awaiting_answer = False
         self.earlier_right_ends_ms = max([self.earlier_right_ends_ms, now_ms, *ends_ms])
 
     def not_sent(self):
-        """Note that the latest grant never left this process.
+        """Record that the latest grant was never sent.
 
-        Its end does not count then: a server that was killed refuses connections, and
-        each try would put off the moment when its grants have surely run out.
+        Its end is then disregarded. A killed server refuses connections, and without
+        this each attempt would postpone the time at which its grants have expired.
         """
-        if self._waiting and self._sent:
-            self._sent[-1].until_ms = self._until_before_ms
-        self._waiting = False
+        if self._awaiting_answer and self._sent:
+            self._sent[-1].until_ms = self._previous_until_ms
+        self._awaiting_answer = False
 
     def released(self, slice_index, now_ms):
-        """Tell whether nobody can be acting as owner of a slice at this server.
+        """Tell whether it is proved that no process at this server owns a slice.
 
         Parameters
         ----------
         slice_index : int
         now_ms : float
-            The steward's clock, read after the last wait.
+            The steward's clock, read after the last operation that may block.
 
         Returns
         -------
         proof : str
-            Empty without proof; else ``"acknowledged"`` or ``"expired"``.
+            ``"acknowledged"`` or ``"expired"``; empty without proof.
         """
-        if self._older_may_hold(now_ms):
+        if self._earlier_grants_may_be_valid(now_ms):
             return ""
         holding = [s for s in self._sent if slice_index in s.tokens]
         if not holding:
             return "acknowledged"
-        if all(self._has_run_out(item, now_ms) for item in holding):
+        if all(self._has_expired(item, now_ms) for item in holding):
             return "expired"
         return ""
 
-    def _older_may_hold(self, now_ms):
-        """Guard against grants of an earlier steward that never were revoked.
+    def _earlier_grants_may_be_valid(self, now_ms):
+        """Tell whether unrevoked grants of an earlier steward may still be valid.
 
-        The server's accepting this term is not enough while the earlier steward still
-        has its right: a server that restarts forgets this term, and the earlier
-        steward may be the first to grant to the new process. Once the server has been
-        seen to stand by this term after that right, no process of it can be granted to
-        by anybody earlier.
+        That the server has accepted this term is not enough while the earlier steward's
+        right lasts: a server that restarts forgets the term, and the earlier steward
+        may be the first to send a grant to the new process. Once the server has
+        accepted a grant of this term after that right has ended, no earlier steward can
+        send a grant to any process of the server.
         """
         if self._fenced:
             return False
         return self.inherited_end_ms is None or now_ms < self.inherited_end_ms
 
-    def _has_run_out(self, item, now_ms):
+    def _has_expired(self, item, now_ms):
         if item.boot_id != self.boot_id:
             return True
         return now_ms >= self._has_run_out_at(item)
 
     def _has_run_out_at(self, item):
-        """Return from when on, by the steward's clock, a grant has surely run out."""
+        """Return when a grant has expired for certain, on the steward's clock."""
         reading = self._reading
         left_ms = item.until_ms - reading.clock_ms + END_MARGIN_MS
         return reading.arrived_ms + left_ms / (1.0 - CLOCK_RATE_MARGIN)
 
-    def _earliest_server_clock(self, now_ms):
-        """Return the least that the server's clock can read now.
+    def _min_server_clock_ms(self, now_ms):
+        """Return a lower bound of the server's clock reading at this time.
 
-        Grants start from it, so that an end never lies later than meant.
+        Grants are counted from it, so that none ends later than intended.
         """
         reading = self._reading
         elapsed_ms = (now_ms - reading.arrived_ms) * (1.0 - CLOCK_RATE_MARGIN)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -8,16 +8,16 @@
 
 
 def answered(ledger, clock_ms, now_ms, boot_id="b1", sequence=None):
-    """Let the server answer at once."""
+    """Process an immediate response of the server."""
     term = ledger.term if sequence is not None else 0
     answer = ServerAnswer(boot_id, clock_ms, term, sequence or 0)
     return ledger.observe(answer, now_ms, now_ms)
 
 
 class GrantTest(unittest.TestCase):
-    """What a steward hands out."""
+    """Grants that a steward sends."""
 
-    def test_nothing_is_granted_before_the_server_clock_is_known(self):
+    def test_no_grant_before_the_server_clock_is_known(self):
         ledger = GrantLedger(1, GRANT_MS, 0.0)
         self.assertIsNone(ledger.next_grant({0: 1}, 10.0))
 
@@ -27,11 +27,12 @@
         grant = ledger.next_grant({0: 1}, 10.0)
         self.assertEqual(grant.until_ms, 5_000_000.0 + GRANT_MS)
 
-    def test_a_frozen_server_is_not_handed_later_ends(self):
-        """A server freezes with a renewal in its socket buffer.
+    def test_paused_server_is_not_sent_later_ends(self):
+        """Guards against extending the grants of a paused server.
 
-        Its steward goes on sending; if each renewal had a later end, the thawed
-        server would read the last of them and own keys that were moved away.
+        A server is paused with a renewal in its socket buffer while its steward keeps
+        sending. If each renewal had a later end, the resumed server would read the last
+        of them and own keys that have been moved.
         """
         ledger = GrantLedger(1, GRANT_MS, 0.0)
         answered(ledger, clock_ms=100.0, now_ms=0.0)
@@ -41,11 +42,12 @@
         self.assertEqual(ledger.released(0, first.until_ms - 100.0), "")
         self.assertEqual(ledger.released(0, first.until_ms + 10.0), "expired")
 
-    def test_a_grant_that_never_left_puts_off_no_end(self):
-        """A backend server is killed, and refuses its steward's connections.
+    def test_unsent_grant_does_not_postpone_expiry(self):
+        """Guards against counting grants that were never sent.
 
-        Its keys are free once the last grant that it was sent has run out; counting
-        those that could not be sent keeps callers waiting for nine tenths of a second.
+        A backend server is killed and refuses connections. Its keys are free once the
+        last grant that it was sent has expired; counting the unsent ones makes callers
+        wait 900 ms longer.
         """
         ledger = GrantLedger(1, GRANT_MS, 0.0)
         answered(ledger, clock_ms=100.0, now_ms=0.0)
@@ -59,7 +61,7 @@
 
 
 class ReleaseTest(unittest.TestCase):
-    """What counts as proof."""
+    """Proofs that a slice has been released."""
 
     def ledger_with_grant(self):
         ledger = GrantLedger(3, GRANT_MS, 0.0)
@@ -71,7 +73,7 @@
     def test_an_owned_slice_is_not_released(self):
         self.assertEqual(self.ledger_with_grant().released(0, 10.0), "")
 
-    def test_a_smaller_grant_sent_but_unanswered_proves_nothing(self):
+    def test_unanswered_smaller_grant_is_no_proof(self):
         ledger = self.ledger_with_grant()
         ledger.next_grant({1: 7}, 10.0)
         self.assertEqual(ledger.released(0, 20.0), "")
@@ -88,20 +90,20 @@
         self.assertTrue(answered(ledger, 3.0, 400.0, boot_id="b2"))
         self.assertEqual(ledger.released(0, 400.0), "acknowledged")
 
-    def test_silence_after_a_takeover_proves_nothing_in_time_unknown(self):
+    def test_unknown_inherited_end_is_never_proved_by_time(self):
         ledger = GrantLedger(4, GRANT_MS, None)
         self.assertEqual(ledger.released(0, 1e12), "")
 
-    def test_inherited_grants_run_out(self):
+    def test_inherited_grants_expire(self):
         ledger = GrantLedger(4, GRANT_MS, 2000.0)
         self.assertEqual(ledger.released(0, 1999.0), "")
         self.assertEqual(ledger.released(0, 2000.0), "acknowledged")
 
-    def test_a_restart_does_not_end_what_an_earlier_steward_may_grant(self):
-        """A server restarts while the earlier steward still has its right.
+    def test_restart_does_not_end_grants_of_an_earlier_steward(self):
+        """Guards against taking the end of a process for a proof of release.
 
-        The earlier steward may be the first to reach the new process, which has
-        forgotten the higher term.
+        A server restarts while the earlier steward still has its right. That steward
+        may be the first to reach the new process, which has forgotten the higher term.
         """
         ledger = GrantLedger(4, GRANT_MS, 2000.0, earlier_right_ends_ms=800.0)
         answered(ledger, clock_ms=100.0, now_ms=0.0)
@@ -112,7 +114,7 @@
         self.assertEqual(ledger.released(0, 400.0), "")
         self.assertEqual(ledger.released(0, 2000.0), "acknowledged")
 
-    def test_acceptance_after_the_earlier_right_is_proof_for_good(self):
+    def test_acceptance_after_the_earlier_right_is_permanent_proof(self):
         ledger = GrantLedger(4, GRANT_MS, None, earlier_right_ends_ms=800.0)
         answered(ledger, clock_ms=100.0, now_ms=0.0)
         grant = ledger.next_grant({1: 7}, 810.0)
@@ -121,8 +123,8 @@
         answered(ledger, 3.0, 900.0, boot_id="b2")
         self.assertEqual(ledger.released(0, 900.0), "acknowledged")
 
-    def test_a_new_address_speaks_for_nobody(self):
-        """A VM is replaced under its name; the old one is cut off, not gone."""
+    def test_new_address_is_no_proof_for_the_old_process(self):
+        """A VM is replaced under its name; the old one is cut off but still running."""
         ledger = self.ledger_with_grant()
         ledger.moved(100.0)
         answered(ledger, 3.0, 110.0, boot_id="b2")
