--- a/src/tarragonramp/terms.py
+++ b/src/tarragonramp/terms.py
@@ -1,9 +1,8 @@
-"""Terms: the one mechanism for roles that a single daemon may hold.
+"""Terms: roles that at most one daemon holds at a time.
 
-The platform decides who holds a term, by conditional updates. Between its
-decisions the named successor's word "I have not taken over" prolongs the
-holder's right, so that a platform outage stops nobody. This is neither a
-consensus group nor a store.
+The platform decides by conditional updates who holds a term. Between updates, the named
+successor's confirmation that it has not taken over extends the holder's right, so that
+a platform outage stops no role. This is neither a consensus group nor a store.
 """
 
 import math
@@ -23,19 +22,20 @@
 ]
 
 RIGHT_MARGIN = 1.0025
-"""Two clocks that each run within 1 in 1000 of true time: 1.001 / 0.999, rounded up."""
+"""Ratio of two clocks that are each accurate to 1 in 1000: 1.001 / 0.999, rounded up.
+"""
 
-RENEW_EARLY = 0.4
-"""Share of a right that is left when the platform is asked, for want of words."""
+RENEWAL_SHARE = 0.4
+"""Remaining share of a right at which the platform is asked if there are no
+confirmations."""
 
 
 @attrs.frozen
 class TermWrite:
     """One conditional update of a term.
 
-    It is sent again, the same to the letter, until a version above the one it is
-    conditional on has been seen: a lost answer does not show that the write is dead,
-    and it may land later.
+    It is resent unchanged until a version above the expected one has been seen: a lost
+    response does not show that the write failed, and it may still take effect later.
 
     Parameters
     ----------
@@ -51,7 +51,7 @@
 
 @attrs.define
 class HeldTerm:
-    """A term as its holder sees it.
+    """A term as seen by its holder.
 
     Parameters
     ----------
@@ -59,12 +59,12 @@
         Name of the term's object.
     number : int
     version : int
-        Platform version of the newest object seen that shows this holder.
+        Platform version of the newest object seen that names this holder.
     successor : str
-        Identity of the daemon whose word prolongs the right; empty for nobody,
-        then the right lasts until it is given up.
+        Identity of the daemon whose confirmations extend the right; empty for none, in
+        which case the right lasts until it is given up.
     right_ms : float
-        How long a right lasts from the sending of the request that prolonged it.
+        Duration of a right, counted from the sending of the request that extended it.
     right_ends_ms : float
         On the holder's clock.
     lasting, unbounded : bool
@@ -90,7 +90,7 @@
 
     @property
     def right_until_ms(self):
-        """When the right ends if nothing prolongs it; infinite without a successor."""
+        """When the right ends unless it is extended; infinite without a successor."""
         if not self.successor and self.pending is None:
             return math.inf
         return self.right_ends_ms
@@ -101,34 +101,34 @@
         Parameters
         ----------
         now_ms : float
-            Read after the last wait and right before acting: a process that was
-            paused in between finds its right gone.
+            Read after the last operation that may block and right before acting, so
+            that a process that was paused notices that its right has ended.
         """
         return now_ms < self.right_until_ms
 
     def grant_ms(self, wanted_ms):
-        """Return how long grants may be: no longer than the term says."""
+        """Return the duration of grants, limited to what the term allows."""
         return min(wanted_ms, self.longest_grant_ms or wanted_ms)
 
     def may_last(self, now_ms):
-        """Tell whether the holder may renew what it granted within its right.
+        """Tell whether the holder may still renew grants that it sent within its right.
 
-        Only servers that refuse superseded stewards are renewed so, and only the
-        server process that the holder knows: a restarted one has forgotten whom it
-        has to refuse. While an update that ends this is in doubt, it has ended.
+        Applies only to servers that refuse superseded stewards, and only to the server
+        process that the holder knows: a restarted process has forgotten whom to refuse.
+        While an update that ends this permission is in doubt, it counts as ended.
         """
         if self.may_act(now_ms):
             return True
         return self.lasting and (self.pending is None or self.pending.term.lasting)
 
     def needs_update(self, now_ms, successor, lasting):
-        """Tell whether the platform has to be asked.
+        """Tell whether an update has to be sent to the platform.
 
         Parameters
         ----------
         now_ms : float
         successor : str
-            Whom the term should name.
+            The successor that the term should name.
         lasting : bool
         """
         if self.pending is not None:
@@ -136,19 +136,19 @@
         if (successor, lasting) != (self.successor, self.lasting):
             return True
         left_ms = self.right_ends_ms - now_ms
-        return bool(self.successor) and left_ms < self.right_ms * RENEW_EARLY
+        return bool(self.successor) and left_ms < self.right_ms * RENEWAL_SHARE
 
     def begin_update(self, holder, successor, request_id, lasting=False, *, now_ms):
-        """Return the update to send, and account for it as if it had landed.
+        """Return the update to send, and record it as if it had taken effect.
 
         Parameters
         ----------
         holder : str
-            Own identity.
+            This daemon's identity.
         successor : str
-            Whom to name; not used while an earlier update is in doubt.
+            The successor to name; ignored while an earlier update is in doubt.
         request_id : str
-            New for every update, kept by the one in doubt.
+            Unique for every new update; an update in doubt keeps its own.
         lasting : bool
         now_ms : float
             Read before the update is sent.
@@ -159,8 +159,8 @@
         """
         if self.pending is None:
             if not self.successor:
-                # Nobody can take the term before this update lands, and whoever takes
-                # it after that waits for a whole right.
+                # Nobody can take the term before this update takes effect, and whoever
+                # takes it afterwards waits for a whole right.
                 self.right_ends_ms = now_ms + self.right_ms
             term = Term(
                 self.number,
@@ -177,17 +177,17 @@
         return self.pending
 
     def observed(self, term, version, sent_ms=None):
-        """Take in the term as the platform showed it.
+        """Process the term as the platform reported it.
 
         Parameters
         ----------
         term : Term
         version : int
         sent_ms : float or None
-            If it came in answer to a conditional update, granted or refused: before
-            that was sent. A paused holder that counted from the answer would act on
-            a right that is long over. None for reads and watches, which may be old
-            and prolong nothing.
+            For the response to a conditional update, granted or refused: a time before
+            the update was sent. A paused holder that counted from the response would
+            act on a right that has long ended. None for reads and watches, which may be
+            stale and do not extend the right.
 
         Returns
         -------
@@ -209,10 +209,10 @@
         return True
 
     def renewed_by_successor(self, identity, sent_ms):
-        """Note a daemon's word that it has not taken over.
+        """Process a daemon's confirmation that it has not taken over.
 
-        While a rename is in doubt the old and the new successor may each believe
-        to be the named one, so the earlier of their two words counts.
+        While a change of successor is in doubt, either successor may be the one that
+        the platform names, so the earlier of their two confirmations counts.
         """
         self._words_ms[identity] = max(sent_ms, self._words_ms.get(identity, sent_ms))
         self._use_words()
@@ -232,44 +232,44 @@
 
 @attrs.define
 class Takeover:
-    """A named successor's way to a silent holder's term.
+    """A named successor's takeover of a silent holder's term.
 
     Parameters
     ----------
     role : str
     began_ms : float
-        From here on no word is given to the old holder any more.
-    last_word_ms : float
-        When the latest word was given to the old holder; its right was counted
-        from a moment before this.
+        From this time on the old holder is sent no confirmations.
+    last_confirmation_ms : float
+        Time of the last confirmation sent to the old holder, whose right counts from an
+        earlier moment.
     right_ms : float
     """
 
     role: str
     began_ms: float
-    last_word_ms: float
+    last_confirmation_ms: float
     right_ms: float
 
     def old_right_ends_ms(self, write_answered_ms):
-        """Return when the old holder's right is surely over, on the taker's clock.
+        """Return when the old holder's right has ended for certain, on this daemon's
+        clock.
 
         Parameters
         ----------
         write_answered_ms : float
-            When the platform's answer to the taking update arrived. The old
-            holder's own last update came before it.
+            When the platform's response to the takeover write arrived. The old holder's
+            last update precedes it.
         """
-        latest_ms = max(self.last_word_ms, write_answered_ms)
+        latest_ms = max(self.last_confirmation_ms, write_answered_ms)
         return latest_ms + self.right_ms * RIGHT_MARGIN
 
 
 @attrs.define
 class RoleTerm:
-    """One role as one daemon pursues, holds and gives it up; without I/O.
+    """State of one daemon for one role: claiming, holding and giving it up. No I/O.
 
-    Every object of the role that this daemon sees goes through :meth:`see`, and
-    every update that it sends comes from :meth:`claim`, :meth:`keep` or
-    :meth:`give_up`.
+    Every object of the role that this daemon sees is passed to :meth:`see`, and every
+    update that it sends comes from :meth:`claim`, :meth:`keep` or :meth:`give_up`.
 
     Parameters
     ----------
@@ -279,9 +279,10 @@
     right_ms : float
     held : HeldTerm or None
     earlier_right_ends_ms : float
-        While held: when no earlier holder can be acting any more, on this clock.
+        When the rights of all earlier holders have ended, on this daemon's clock. Valid
+        while the term is held.
     claiming : TermWrite or None
-        A taking update whose outcome is not known yet.
+        A claim whose outcome is not known yet.
     """
 
     role: str
@@ -291,20 +292,21 @@
     earlier_right_ends_ms: float = 0.0
     claiming: TermWrite | None = None
     _takeover: Takeover | None = None
-    _takeover_from: tuple[str, int] = ("", 0)
+    _takeover_holder: tuple[str, int] = ("", 0)
     _revoked: dict[str, int] = attrs.Factory(dict)
     _given_up: int = 0
 
     def revoked_for(self, identity):
-        """Return up to which number this daemon gives another no word any more.
+        """Return the highest term number for which a daemon is no longer sent
+        confirmations.
 
-        A number, not a flag: whoever lost a term to this daemon and later holds it
-        again needs this daemon's word again.
+        A number rather than a flag: a daemon that lost a term to this one and holds it
+        again later needs confirmations again.
         """
         return self._revoked.get(identity, 0)
 
     def see(self, term, version, now_ms, sent_ms=None):
-        """Take in the newest object of the role.
+        """Process the newest object of the role.
 
         Parameters
         ----------
@@ -317,10 +319,10 @@
         if self.held is not None and not self.held.observed(term, version, sent_ms):
             self._given_up = max(self._given_up, self.held.number)
             self.held = None
-        self._settle_claim(term, version)
+        self._resolve_claim(term, version)
         mine = term.holder == self.identity and term.number > self._given_up
         if self.held is None and mine:
-            self._accept(term, version, now_ms, sent_ms)
+            self._start_holding(term, version, now_ms, sent_ms)
 
     def claim(self, term, version, now_ms, plan, request_id):
         """Return the update that takes the role.
@@ -333,7 +335,7 @@
         now_ms : float
         plan : ClaimPlan
         request_id : str
-            For a new update; one in doubt is sent again as it was.
+            For a new update; an update in doubt is resent unchanged.
 
         Returns
         -------
@@ -342,11 +344,13 @@
         if self.claiming is not None:
             return self.claiming
         self._takeover = None
-        if plan.last_word_ms is not None:
+        if plan.last_confirmation_ms is not None:
             longest_ms = max(self.right_ms, term.right_ms)
-            self._takeover = Takeover(self.role, now_ms, plan.last_word_ms, longest_ms)
-            self._takeover_from = (term.holder, term.number)
-            # Before the update leaves: no word from here on.
+            self._takeover = Takeover(
+                self.role, now_ms, plan.last_confirmation_ms, longest_ms
+            )
+            self._takeover_holder = (term.holder, term.number)
+            # Before the update is sent: confirmations stop now.
             self._revoked[term.holder] = term.number
         self.claiming = TermWrite(
             self.role, self._taking(term, plan, request_id), version
@@ -370,7 +374,7 @@
         ----------
         now_ms : float
         to : str
-            Identity of the next holder; empty for whoever claims it first.
+            Identity of the next holder; empty to let any daemon claim the term.
         request_id : str
         """
         held, self.held = self.held, None
@@ -387,24 +391,25 @@
         )
         return TermWrite(self.role, term, held.version)
 
-    def _settle_claim(self, term, version):
+    def _resolve_claim(self, term, version):
         claim = self.claiming
         if claim is None or version <= claim.expected_version:
             return
         self.claiming = None
-        holder, number = self._takeover_from
+        holder, number = self._takeover_holder
         if term.number == number and self._revoked.get(holder) == number:
-            # Numbers never go down: the taking update did not land, and never can.
+            # Term numbers never decrease: the claim has failed and cannot succeed any
+            # more.
             self._revoked[holder] = number - 1
             self._takeover = None
 
-    def _accept(self, term, version, now_ms, sent_ms):
+    def _start_holding(self, term, version, now_ms, sent_ms):
         self.held = HeldTerm(
             self.role,
             term.number,
             version,
             term.successor,
-            # Never longer than the term says: whoever takes over waits by that.
+            # Limited to what the term says, which is how long a new holder waits.
             min(self.right_ms, term.right_ms or self.right_ms),
             lasting=term.lasting,
             unbounded=term.unbounded,
@@ -417,11 +422,11 @@
         self._takeover = None
 
     def _earlier_right_ends_ms(self, term, now_ms):
-        """Return when no earlier holder can be acting any more.
+        """Return when the rights of all earlier holders have ended.
 
-        The one before may have consented or departed, and yet its own predecessor's
-        right, which it was waiting for, may still run: so every change of holder is
-        followed by a whole right, but for one that says it is not needed.
+        The previous holder may have consented or departed while the right of its own
+        predecessor, which it was waiting for, still runs. So every change of holder is
+        followed by a whole right, unless the term says that this is not needed.
         """
         if term.settled:
             return now_ms
@@ -433,7 +438,7 @@
         if term is None:
             term = Term(0, "", settled=True)
         vacant = not term.holder
-        silent = plan.last_word_ms is not None
+        silent = plan.last_confirmation_ms is not None
         return Term(
             term.number + 1,
             self.identity,
@@ -449,22 +454,22 @@
 
 @attrs.frozen
 class ClaimPlan:
-    """What a daemon puts into the update that takes a role.
+    """What a daemon writes in the update that takes a role.
 
     Parameters
     ----------
     successor : str
     lasting : bool
-    last_word_ms : float or None
-        When the silent holder was last given this daemon's word. None if nobody
-        holds the term, or its holder departed.
+    last_confirmation_ms : float or None
+        When this daemon last sent the silent holder a confirmation. None if nobody
+        holds the term or its holder has departed.
     grant_ms : float
-        Length of the grants to be given; 0 if the role gives none.
+        Duration of the grants to be sent; 0 for a role that sends none.
     """
 
     successor: str
     lasting: bool = False
-    last_word_ms: float | None = None
+    last_confirmation_ms: float | None = None
     grant_ms: float = 0.0
 
 
@@ -474,13 +479,13 @@
     Parameters
     ----------
     term : Term or None
-        As last seen; a conditional update checks that it still is current.
+        As last seen; a conditional update ensures that it is still current.
     identity : str
-        Of the daemon that asks.
+        Identity of this daemon.
     departed : callable
-        ``departed(identity)`` is True if that process is known to be gone.
+        ``departed(identity)`` is True if that process is known to have ended.
     silent : callable
-        ``silent(identity)`` is True if it has not been heard for the set time.
+        ``silent(identity)`` is True if that process has exceeded the silence timeout.
 
     Returns
     -------
@@ -496,12 +501,13 @@
 
 
 def has_departed(identity, term_version, member, member_version):
-    """Decide whether a process is known to be gone.
+    """Decide whether a process is known to have ended.
 
     A daemon registers after it has bound its addresses and before it takes any term,
-    and the kernel gives an address to one process. So a registration at the same
-    addresses proves that the process it replaced has ended. One at other addresses
-    (a new VM under an old name) proves nothing: it lists such predecessors.
+    and the kernel lets only one process bind an address. So a registration at the same
+    addresses proves that the previous process has ended. A registration at other
+    addresses (a new VM under an old name) proves nothing and lists such predecessors as
+    unproven.
 
     Parameters
     ----------
@@ -509,15 +515,15 @@
     term_version : int
         Platform version of the newest object that names the process.
     member : Member or None
-        Newest registration seen under its name; None if that was deleted.
+        Newest registration seen under its name; None if it was deleted.
     member_version : int
-        Of the registration, or of its deletion; 0 if there never was one.
+        Version of the registration or of its deletion; 0 if there never was one.
 
     Returns
     -------
     departed : bool
-        False also if the registration may be older than the process: a lagging view
-        would else take a fresh daemon for one that has been replaced.
+        Also False if the registration may be older than the process: with a stale view,
+        a daemon that has just started would be taken for one that has been replaced.
     """
     if member_version <= term_version:
         return False
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -1,4 +1,4 @@
-"""Who may act in a term, on manual clocks."""
+"""Rights of a term's holder and successor, on manual clocks."""
 
 import unittest
 
@@ -8,36 +8,37 @@
 
 
 def held(successor="b#1"):
-    """Return a term that the platform has just confirmed at time 0."""
+    """Return a term that the platform has confirmed at time 0."""
     term = HeldTerm("steward.t.s.x", 1, 10, successor, right_ms=800.0)
     term.observed(Term(1, "a#1", successor), 10, sent_ms=0.0)
     return term
 
 
 class HeldTermTest(unittest.TestCase):
-    """The holder's side."""
+    """The holder's side of a term."""
 
-    def test_the_right_counts_from_the_sending(self):
-        """A holder is paused between sending its ping and reading the answer.
+    def test_right_counts_from_the_sending_of_the_request(self):
+        """Guards against counting a right from the arrival of a response.
 
-        Counted from the answer's arrival the right would outlast what the successor
-        waits for, and both would act.
+        A holder is paused between sending its ping and reading the response. Its right
+        would outlast the time that the successor waits, and both would act.
         """
         term = held()
         term.renewed_by_successor("b#1", sent_ms=100.0)
         self.assertTrue(term.may_act(899.0))
         self.assertFalse(term.may_act(900.0))
 
-    def test_a_strangers_word_prolongs_nothing(self):
+    def test_confirmation_of_another_daemon_extends_nothing(self):
         term = held()
         term.renewed_by_successor("c#1", sent_ms=700.0)
         self.assertFalse(term.may_act(800.0))
 
-    def test_during_a_rename_both_words_are_needed(self):
-        """A holder renames its successor and the platform's answer is lost.
+    def test_both_confirmations_are_needed_during_a_change_of_successor(self):
+        """Guards against relying on one successor while a change of successor is in
+        doubt.
 
-        Either of the two may be the one that the platform names, so either may take
-        over: the word of the old one alone must not keep the holder going.
+        The platform's response is lost, so it may name either of the two and either may
+        take over: the old successor's confirmation alone must not extend the right.
         """
         term = held()
         term.begin_update("a#1", "c#1", "request-1", now_ms=0.0)
@@ -47,28 +48,29 @@
         self.assertTrue(term.may_act(1399.0))
         self.assertFalse(term.may_act(1400.0))
 
-    def test_nobody_can_take_over_from_a_holder_without_successor(self):
+    def test_right_without_successor_does_not_end(self):
         self.assertTrue(held(successor="").may_act(1e12))
 
-    def test_a_holder_that_names_its_first_successor_acts_meanwhile(self):
-        """Guards against refusing callers until the platform has answered."""
+    def test_holder_may_act_while_naming_its_first_successor(self):
+        """Guards against refusing callers until the platform has responded."""
         term = held(successor="")
         term.begin_update("a#1", "b#1", "request-1", now_ms=5000.0)
         self.assertTrue(term.may_act(5799.0))
         self.assertFalse(term.may_act(5800.0))
 
-    def test_naming_a_first_successor_again_does_not_prolong_the_right(self):
-        """Guards against a holder that acts after its lost update has landed."""
+    def test_naming_a_first_successor_again_does_not_extend_the_right(self):
+        """Guards against a holder that acts after its lost update has taken effect."""
         term = held(successor="")
         term.begin_update("a#1", "b#1", "request-1", now_ms=5000.0)
         term.begin_update("a#1", "b#1", "request-2", now_ms=5700.0)
         self.assertFalse(term.may_act(5800.0))
 
-    def test_a_word_for_a_holder_without_successor_changes_nothing(self):
-        """A neighbour's word counts for every term held by the daemon it is given to.
+    def test_confirmation_without_successor_changes_nothing(self):
+        """Guards against an error that skips the terms after one without a successor.
 
-        One of them names no successor. Were the word an error there, the terms
-        after it would not be prolonged, and each had to be renewed by a write.
+        A neighbour's confirmation applies to all terms that a daemon holds. If a term
+        without a successor raised an error, the following terms would not be extended
+        and each would need a write to be renewed.
         """
         term = held(successor="")
         term.renewed_by_successor("b#1", sent_ms=0.0)
@@ -76,10 +78,12 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """The successor's side."""
+    """The successor's side of a term."""
 
-    def test_the_old_right_is_waited_for(self):
-        takeover = Takeover("r", began_ms=500.0, last_word_ms=0.0, right_ms=800.0)
+    def test_takeover_waits_for_the_old_right(self):
+        takeover = Takeover(
+            "r", began_ms=500.0, last_confirmation_ms=0.0, right_ms=800.0
+        )
         self.assertGreater(takeover.old_right_ends_ms(600.0), 1400.0)
 
     def test_who_may_claim(self):
@@ -94,7 +98,7 @@
 
 
 class RoleTermTest(unittest.TestCase):
-    """A whole role as one daemon pursues it."""
+    """A role over its whole life cycle in one daemon."""
 
     def holder(self, identity="a#1", term=None):
         """Return a daemon whose claim was granted at time 0, and its term."""
@@ -103,11 +107,12 @@
         state.see(write.term, 10, 0.0, sent_ms=0.0)
         return state, write.term
 
-    def test_a_lost_answer_is_asked_for_with_the_same_update(self):
-        """A rename takes effect, but its answer is lost.
+    def test_update_in_doubt_is_resent_unchanged(self):
+        """Guards against retrying an update in doubt as a new one.
 
-        With a new request id the retry would meet a conflict for ever, and a third
-        successor named meanwhile would make the holder forget the second.
+        A change of successor takes effect but the response is lost. With a new request
+        id the retry would end in a conflict for ever, and with a third successor the
+        holder would lose track of the second.
         """
         state, _ = self.holder()
         first = state.keep(100.0, "c#1", False, "q2")
@@ -116,14 +121,15 @@
         self.assertEqual(state.held.successor, "c#1")
         self.assertEqual(state.keep(300.0, "d#1", False, "q4").expected_version, 11)
 
-    def test_consent_does_not_shorten_the_wait_for_the_one_before(self):
-        """b takes a silent holder's term and hands it on at once to c.
+    def test_consent_does_not_shorten_the_wait_for_earlier_holders(self):
+        """Guards against skipping the wait for the holder before the previous one.
 
-        b consented; a did not, and its right may still run.
+        b takes a silent holder's term and hands it over to c at once. b consented, but
+        a did not, and its right may still run.
         """
         old = Term(1, "a#1", "b#1", right_ms=800.0)
         taker = RoleTerm("r", "b#1", right_ms=800.0)
-        plan = ClaimPlan("c#1", last_word_ms=0.0)
+        plan = ClaimPlan("c#1", last_confirmation_ms=0.0)
         taker.see(taker.claim(old, 5, 500.0, plan, "q").term, 10, 500.0, 500.0)
         given = taker.give_up(510.0, "c#1", "q2").term
         self.assertFalse(given.settled)
@@ -131,23 +137,23 @@
         next_holder.see(given, 11, 520.0)
         self.assertGreater(next_holder.earlier_right_ends_ms, 1320.0)
 
-    def test_consent_after_the_wait_needs_none(self):
+    def test_consent_after_the_wait_needs_no_further_wait(self):
         state, _ = self.holder()
         given = state.give_up(10.0, "b#1", "q2").term
         next_holder = RoleTerm("r", "b#1", right_ms=800.0)
         next_holder.see(given, 11, 20.0)
         self.assertEqual(next_holder.earlier_right_ends_ms, 20.0)
 
-    def test_a_term_given_up_is_not_taken_up_again_from_an_old_view(self):
+    def test_stale_view_does_not_restore_a_term_given_up(self):
         state, term = self.holder()
         state.give_up(10.0, "b#1", "q2")
         state.see(term, 10, 20.0)
         self.assertIsNone(state.held)
 
-    def test_word_is_given_again_once_the_takeover_failed(self):
+    def test_confirmations_resume_after_a_failed_takeover(self):
         old = Term(1, "a#1", "b#1", right_ms=800.0)
         taker = RoleTerm("r", "b#1", right_ms=800.0)
-        taker.claim(old, 5, 500.0, ClaimPlan("c#1", last_word_ms=0.0), "q")
+        taker.claim(old, 5, 500.0, ClaimPlan("c#1", last_confirmation_ms=0.0), "q")
         self.assertEqual(taker.revoked_for("a#1"), 1)
         taker.see(old, 5, 600.0)
         self.assertEqual(taker.revoked_for("a#1"), 1)
@@ -156,24 +162,25 @@
 
 
 class DepartedTest(unittest.TestCase):
-    """What a registration proves."""
+    """What a registration proves about earlier processes."""
 
     def member(self, boot_id, unproven=()):
         return Member("d1", boot_id, "a", "", "", unproven)
 
-    def test_a_newer_registration_proves_the_end_of_the_one_before(self):
+    def test_newer_registration_proves_the_end_of_the_previous_process(self):
         self.assertTrue(has_departed("d1#old", 5, self.member("new"), 7))
         self.assertTrue(has_departed("d1#old", 5, None, 7))
         self.assertFalse(has_departed("d1#new", 5, self.member("new"), 7))
 
-    def test_a_lagging_view_proves_nothing(self):
-        """A daemon restarts and takes a term; its registration is seen later.
+    def test_stale_registration_proves_nothing(self):
+        """Guards against comparing a process with an older registration.
 
-        Compared with the old registration, the fresh process would look replaced.
+        A daemon restarts and takes a term before its registration is seen. Compared
+        with the old registration, the new process would look replaced.
         """
         self.assertFalse(has_departed("d1#new", 9, self.member("old"), 5))
         self.assertFalse(has_departed("d1#new", 9, None, 0))
 
-    def test_a_new_vm_under_an_old_name_proves_nothing(self):
+    def test_new_vm_under_an_old_name_proves_nothing(self):
         """A cut-off VM is replaced by one with its name and another address."""
         self.assertFalse(has_departed("d1#old", 5, self.member("new", ("old",)), 7))
