--- a/src/tarragonramp/gates.py
+++ b/src/tarragonramp/gates.py
@@ -1,8 +1,8 @@
-"""The way to a backend server that only its steward may send to.
+"""Admission of requests to backend servers that only their steward may send to.
 
-Such are a server that does not check who gives it an order, always, and any server in
-a cold start, until it bears its full load. Every decision here is the steward's;
-entries forward what callers ask for.
+These are servers that do not verify the sender of a request, at any time, and all
+servers in a cold start until they can take their full load. All decisions here are the
+steward's; entries forward callers' requests to it.
 """
 
 import collections
@@ -15,31 +15,32 @@
 
 __all__ = ["Admission", "Gate", "Order", "Warmth"]
 
-LEAST_MS = 5.0
-"""A deadline shorter than this is over before the server has begun."""
+MIN_DEADLINE_MS = 5.0
+"""Deadlines shorter than this pass before the server has started."""
 
 WAITING_PER_SLOT = 4
-"""Requests that wait at a gate, for each slot of the server.
+"""Requests that may wait for a server, per slot of the server.
 
-Load: all entries forward a promotion's requests to one steward. Harm prevented: a
-queue that is longer than its callers wait; four rounds of a slot's work are.
+In a burst all entries forward their requests to one steward. Four rounds of work per
+slot are about as long as callers wait; a longer queue would hold requests that nobody
+waits for.
 """
 
 
 @attrs.frozen
 class Order:
-    """A caller's request on its way to a server through the server's steward.
+    """A caller's request that is sent to a server through the server's steward.
 
     Parameters
     ----------
     team, service, server : str
     slice_index, token : int
-        As the entry's route has them.
+        As in the entry's route.
     method, target : str
     headers : tuple of (str, str)
     body : bytes
     deadline_ms : float
-        How long the caller still waits.
+        How much longer the caller waits.
     """
 
     team: str
@@ -56,14 +57,14 @@
 
 @attrs.frozen
 class Admission:
-    """What the gate says to one request.
+    """The decision about one request.
 
     Parameters
     ----------
     timeout_ms : float
-        How long the server may take, from now on; 0 if it may not be sent.
+        Time that the server may take from now on; 0 if the request is refused.
     reason : str
-        Of a refusal.
+        Why it is refused.
     """
 
     timeout_ms: float = 0.0
@@ -71,8 +72,8 @@
 
 
 @attrs.define
-class _Doubt:
-    """Requests that may still run, and how far they are proved to have ended."""
+class _UnprovedRequests:
+    """Requests that may still run, and the state of the proof that they have ended."""
 
     since_ms: float
     longest_ms: float
@@ -81,28 +82,28 @@
 
 @attrs.define
 class Gate:
-    """What a steward has sent to one server, in one term.
+    """Requests that a steward has sent to one server in one term.
 
-    Such a server may freeze with a request in its socket buffer and run it once it
-    thaws, within a deadline that it counts from there. Neither time nor silence
-    proves then that it has ended. A server that answers a probe is running, and has
-    read what lay in its buffers; a whole deadline later nothing of that can run any
-    more, and a second answer of the same process shows that it did not freeze
-    between reading and deadline.
+    A server that does not verify the sender may be paused with a request in its socket
+    buffer and run it when it resumes, with a deadline that it counts from then on.
+    Neither time nor silence proves that such a request has ended. A server that answers
+    a probe is running and has read its buffers; one full deadline later none of those
+    requests can run any more, and a second answer of the same process shows that it was
+    not paused in between.
 
     Parameters
     ----------
     warmth : Warmth
-        How many requests the server bears at once, from all daemons together.
+        Tracks how many requests from all daemons the server can take at once.
     longest_ms : float
-        Longest deadline that is passed along: the length of a right.
+        Longest deadline that is passed to the server: the duration of a right.
     earlier_right_ends_ms : float
-        On the steward's clock, when no earlier steward may send any more.
+        When earlier stewards may not send any more, on this steward's clock.
     earlier_longest_ms : float
-        Longest deadline that an earlier steward may have passed along.
+        Longest deadline that an earlier steward may have passed to the server.
     checks : bool, default=False
-        Whether the server refuses superseded stewards; then a request in its hands may
-        outlast the right.
+        Whether the server refuses superseded stewards; if so, a request that it is
+        working on may outlast the right.
     """
 
     warmth: object
@@ -112,28 +113,29 @@
     checks: bool = False
     boot_id: str = ""
     waiting: int = 0
-    _seen_ms: float = 0.0
-    _in_hand: collections.Counter = attrs.Factory(collections.Counter)
-    _doubts: dict[int, _Doubt] = attrs.Factory(dict)
-    _earlier: _Doubt | None = attrs.field(init=False)
+    _last_probe_ms: float = 0.0
+    _in_flight: collections.Counter = attrs.Factory(collections.Counter)
+    _unproved: dict[int, _UnprovedRequests] = attrs.Factory(dict)
+    _earlier: _UnprovedRequests | None = attrs.field(init=False)
 
     def __attrs_post_init__(self):
-        """Begin with doubt about whatever earlier stewards have sent."""
-        # What an earlier steward sent last may be on its way for a whole deadline:
-        # so long its kernel tries to deliver it, also if the steward was killed.
+        """Start with unproved requests of earlier stewards."""
+        # The last request of an earlier steward may be delivered up to one deadline
+        # later: that is how long its kernel retries, even if the steward was killed.
         since_ms = self.earlier_right_ends_ms + self.earlier_longest_ms * RIGHT_MARGIN
-        self._earlier = _Doubt(since_ms, self.earlier_longest_ms)
+        self._earlier = _UnprovedRequests(since_ms, self.earlier_longest_ms)
 
     @property
     def in_hand(self):
-        """How many requests are at the server."""
-        return self._in_hand.total()
+        """Number of requests that the server is working on."""
+        return self._in_flight.total()
 
     def is_full(self, now_ms):
         """Tell whether another request has to wait.
 
-        Until the earlier steward's right is over, its requests may be in the server's
-        hands too: a server in a cold start would get twice what it bears.
+        Until the earlier steward's right has ended, the server may still be working on
+        that steward's requests: in a cold start it would get twice the load that it can
+        take.
         """
         if now_ms < self.earlier_right_ends_ms and not self.warmth.is_warm(now_ms):
             return True
@@ -141,112 +143,118 @@
 
     @property
     def is_crowded(self):
-        """Whether another request may not even wait."""
+        """Whether the queue is full, so that another request is refused at once."""
         return self.waiting >= self.warmth.slots * WAITING_PER_SLOT
 
     def admit(self, slice_index, now_ms, deadline_at_ms, right_ends_ms):
-        """Decide, right before sending, whether a request may go to the server.
+        """Decide immediately before sending whether a request may be sent.
 
         Parameters
         ----------
         slice_index : int
         now_ms : float
-            Read after the last wait.
+            Read after the last operation that may block.
         deadline_at_ms : float
-            The caller's.
+            The caller's deadline.
         right_ends_ms : float
-            Of the steward; infinite if nobody can take over from it.
+            End of the steward's right; infinite if nobody can take over.
 
         Returns
         -------
         admission : Admission
-            If it may, the request counts as sent.
+            An admitted request counts as sent.
         """
         right_ms = min(right_ends_ms - now_ms, self.longest_ms)
-        if right_ms < LEAST_MS:
+        if right_ms < MIN_DEADLINE_MS:
             return Admission(reason="steward has no right")
         timeout_ms = deadline_at_ms - now_ms
         if not self.checks:
             timeout_ms = min(timeout_ms, right_ms)
-        if timeout_ms < LEAST_MS:
+        if timeout_ms < MIN_DEADLINE_MS:
             return Admission(reason="deadline passed")
-        self._in_hand[slice_index] += 1
+        self._in_flight[slice_index] += 1
         return Admission(timeout_ms)
 
     def answered(self, slice_index):
-        """Note that a request has ended, or never left."""
-        self._in_hand[slice_index] -= 1
+        """Record that a request has ended or was never sent."""
+        self._in_flight[slice_index] -= 1
 
     def unanswered(self, slice_index, now_ms):
-        """Note that nobody knows whether a request has ended.
+        """Record that it is unknown whether a request has ended.
 
         Parameters
         ----------
         slice_index : int
         now_ms : float
-            After its connection was closed, which discards what had not left.
+            Read after closing the connection, which discards unsent data.
         """
-        self._in_hand[slice_index] -= 1
-        self._doubts[slice_index] = _Doubt(now_ms, self.longest_ms)
+        self._in_flight[slice_index] -= 1
+        self._unproved[slice_index] = _UnprovedRequests(now_ms, self.longest_ms)
 
     def observe(self, boot_id, sent_ms, arrived_ms):
-        """Take in a probe's answer.
+        """Process the response to a probe.
 
         Parameters
         ----------
         boot_id : str
         sent_ms, arrived_ms : float
-            The steward's clock before the probe left and after its answer came.
+            The steward's clock before the probe was sent and after the response
+            arrived.
         """
         if boot_id != self.boot_id:
             self._restarted(boot_id)
-        self._seen_ms = sent_ms
-        if _is_over(self._earlier, sent_ms, arrived_ms):
+        self._last_probe_ms = sent_ms
+        if _is_proved(self._earlier, sent_ms, arrived_ms):
             self._earlier = None
-        ended = [i for i, d in self._doubts.items() if _is_over(d, sent_ms, arrived_ms)]
+        ended = [
+            i for i, d in self._unproved.items() if _is_proved(d, sent_ms, arrived_ms)
+        ]
         for index in ended:
-            del self._doubts[index]
+            del self._unproved[index]
 
     def _restarted(self, boot_id):
-        """Drop what went to the process before: it cannot run in this one.
+        """Drop requests that were sent to the previous process, which has ended.
 
-        That process was last seen when ``_seen_ms`` was read; what was given up on
-        later may have reached the new one.
+        That process last answered a probe sent at ``_last_probe_ms``; requests given up
+        later may have reached the new process.
         """
         known, self.boot_id = self.boot_id, boot_id
         if not known:
             return
-        kept = {i: d for i, d in self._doubts.items() if d.since_ms > self._seen_ms}
+        kept = {
+            i: d for i, d in self._unproved.items() if d.since_ms > self._last_probe_ms
+        }
         for doubt in (*kept.values(), self._earlier):
             if doubt is not None:
                 doubt.running_ms = None
-        self._doubts = kept
+        self._unproved = kept
 
     def moved(self, now_ms):
-        """Note that the server's name now stands for another address.
+        """Record that the server's name now refers to another address.
 
-        What answers there says nothing about the process at the old one, which may be
-        cut off with requests in its hands: nothing is released in this term any more.
+        A response from the new address proves nothing about the process at the old one,
+        which may be cut off while it works on requests. No slice is released in this
+        term any more.
         """
         self.boot_id = ""
-        self._earlier = _Doubt(math.inf, self.longest_ms)
+        self._earlier = _UnprovedRequests(math.inf, self.longest_ms)
 
     def released(self, slice_index):
-        """Tell whether nothing of a slice can run at the server any more.
+        """Tell whether it is proved that no request for a slice can run at the server.
 
-        The caller has made sure that no further request of the slice is admitted.
+        The caller must ensure that no further request for the slice is admitted.
 
         Returns
         -------
         proof : str
             ``"drained"``, or empty without proof.
         """
-        if self._earlier is not None or slice_index in self._doubts:
+        if self._earlier is not None or slice_index in self._unproved:
             return ""
-        return "" if self._in_hand[slice_index] else "drained"
+        return "" if self._in_flight[slice_index] else "drained"
 
 
-def _is_over(doubt, sent_ms, arrived_ms):
+def _is_proved(doubt, sent_ms, arrived_ms):
     if doubt is None:
         return False
     if doubt.running_ms is None:
@@ -258,28 +266,28 @@
 
 
 RAMP_STEP_MS = 500.0
-"""How long a server that has warmed up works at one width before the next.
+"""Time between two increases of the load on a server that has warmed up.
 
-Load: a promotion's callers, all waiting for a server that has just come back. Harm
-prevented: it falls over under the whole of them and is cold again. Each step doubles
-what it may have in hand, so it is at its full width after a second or two.
+Callers may all be waiting for a server that has just come back, and their full load
+would overload it again. Each step doubles the number of requests in flight, so a server
+is at full load after one to two seconds.
 """
 
 
 @attrs.define
 class Warmth:
-    """How much a server bears now, as its steward sees it.
+    """How much load a server can take, as tracked by its steward.
 
     Parameters
     ----------
     cold_slots, slots : int
-        What it bears in a cold start, and warm.
+        Requests that it can take at once in a cold start, and when warm.
     vouched : bool, default=False
-        Whether this daemon has sent to the server itself until now, as one that was
-        said to be warm, over connections that still stand. The first process seen is
-        then taken at its word. Otherwise each handover of a term, as in a restart of
-        daemons one after the other, would narrow all warm servers to their cold slots
-        for seconds, and callers would be refused.
+        Whether this daemon has been sending to the server directly, as one reported to
+        be warm, over connections that are still open. The first process seen is then
+        assumed to be warm. Otherwise each handover of a term, as in a rolling restart
+        of the daemons, would limit all warm servers to their cold slots for seconds,
+        and callers would be refused.
     """
 
     cold_slots: int
@@ -289,10 +297,10 @@
     _warm_since_ms: float | None = None
 
     def observe(self, boot_id, cold, now_ms):
-        """Take in what the server says of itself.
+        """Process what the server reports about itself.
 
-        A server that is not known yet counts as cold, whatever it says: its word may
-        lag. So it is taken at its word only step by step.
+        An unknown process counts as cold whatever it reports, because the report may be
+        stale: its limit is raised step by step.
         """
         if cold or boot_id != self.boot_id:
             self._warm_since_ms = None
@@ -302,23 +310,25 @@
         self.vouched = False
 
     def suspect(self):
-        """Note that the server may be another process than the one last seen.
+        """Record that the server may be a different process than the one seen last.
 
-        Its connections tell of a restart at once, probes only a moment later: until the
-        next one it gets what a cold server bears.
+        Closed connections show a restart at once, probes only a moment later. Until the
+        next probe the server gets the load of a cold one.
         """
         self.boot_id = ""
         self.vouched = False
         self._warm_since_ms = None
 
     def shed(self, now_ms):
-        """Note that the server turned a request away: it bears less than it says."""
+        """Record that the server refused a request and so can take less than it
+        reported.
+        """
         self.vouched = False
         if self._warm_since_ms is not None:
             self._warm_since_ms = now_ms
 
     def width(self, now_ms):
-        """Return how many requests the server may have in hand."""
+        """Return how many requests the server may be working on at once."""
         if self.vouched:
             return self.slots
         if self._warm_since_ms is None:
@@ -327,5 +337,5 @@
         return min(self.slots, self.cold_slots << int(steps))
 
     def is_warm(self, now_ms):
-        """Tell whether entries may send to the server themselves."""
+        """Tell whether entries may send to the server directly."""
         return self.width(now_ms) >= self.slots
