--- a/src/tarragonramp/removals.py
+++ b/src/tarragonramp/removals.py
@@ -1,57 +1,56 @@
-"""Which objects were removed when, so that only those have to be told.
+"""Log of removed objects, so that updates contain only recent removals.
 
-Pure state of one kind of objects, kept by whoever passes news on.
+Holds the removals of one kind of objects for a daemon that passes updates on. No I/O.
 """
 
 import attrs
 
 __all__ = ["Removals"]
 
-MOST_KEPT = 1000
-"""Removals, and jumps, that are remembered. Load: a release of a large service. Harm
-prevented: memory that grows with the time for which a daemon runs."""
+MAX_ENTRIES = 1000
+"""Removals, and gaps, that are kept. Bounds the memory after large releases."""
 
 
 @attrs.define(eq=False, repr=False)
 class Removals:
-    """Names by the version at which they were found removed."""
+    """Names of removed objects with the versions at which the removals were found."""
 
-    _rows: list = attrs.Factory(list)
-    _jumps: list = attrs.Factory(list)
-    _known_from: int = 0
+    _removals: list = attrs.Factory(list)
+    _gaps: list = attrs.Factory(list)
+    _complete_since: int = 0
 
     def note(self, version, names):
-        """Take in that objects were found removed at a version."""
-        self._rows += [(version, name) for name in names]
-        dropped = self._rows[:-MOST_KEPT]
+        """Record that objects were found removed at a version."""
+        self._removals += [(version, name) for name in names]
+        dropped = self._removals[:-MAX_ENTRIES]
         if dropped:
-            self._known_from = max(self._known_from, dropped[-1][0])
-            del self._rows[:-MOST_KEPT]
+            self._complete_since = max(self._complete_since, dropped[-1][0])
+            del self._removals[:-MAX_ENTRIES]
 
     def jump(self, from_version, to_version):
-        """Take in that all objects were read at once.
+        """Record that all objects were read at once, which leaves a gap in the history.
 
-        What was both added and removed between the two versions is not known; whoever
-        read something between them may have it.
+        Objects that were both added and removed between the two versions are unknown
+        here, but a daemon that has read a version in between may have them.
         """
         if to_version <= from_version + 1:
             return
-        self._jumps.append((from_version, to_version))
-        dropped = self._jumps[:-MOST_KEPT]
+        self._gaps.append((from_version, to_version))
+        dropped = self._gaps[:-MAX_ENTRIES]
         if dropped:
-            self._known_from = max(self._known_from, dropped[-1][1])
-            del self._jumps[:-MOST_KEPT]
+            self._complete_since = max(self._complete_since, dropped[-1][1])
+            del self._gaps[:-MAX_ENTRIES]
 
     def since(self, version):
-        """Return the names removed since a version.
+        """Return the names of objects removed since a version.
 
         Returns
         -------
         names : list of str, or None
-            None if not all of them are known.
+            None if the log is incomplete for that version.
         """
-        if version < self._known_from:
+        if version < self._complete_since:
             return None
-        if any(low < version < high for low, high in self._jumps):
+        if any(low < version < high for low, high in self._gaps):
             return None
-        return [name for removed_at, name in self._rows if removed_at > version]
+        return [name for removed_at, name in self._removals if removed_at > version]
--- a/tests/test_passes.py
+++ b/tests/test_passes.py
@@ -1,4 +1,4 @@
-"""When an entry may send to a server without its steward."""
+"""When an entry may send to a server directly, without its steward."""
 
 import unittest
 
@@ -6,12 +6,12 @@
 
 
 class PassesTest(unittest.TestCase):
-    """A pass holds until anything hints at a restart."""
+    """A permit is valid until there is a sign of a restart."""
 
     def holds(self, passes, at_ms, address="a:1", connected=True):
         return passes.holds("s", address, lambda: connected, at_ms)
 
-    def test_only_the_steward_gives_one(self):
+    def test_only_a_stewards_report_allows_direct_sending(self):
         passes = Passes()
         self.assertFalse(self.holds(passes, 0.0))
         passes.give("s", "a:1", 0.0)
@@ -19,7 +19,7 @@
         passes.take("s")
         self.assertFalse(self.holds(passes, 1e6))
 
-    def test_a_lost_connection_ends_it(self):
+    def test_lost_connection_ends_the_permit(self):
         """A server is replaced between two requests of an entry."""
         passes = Passes()
         passes.give("s", "a:1", 0.0)
@@ -27,7 +27,7 @@
         self.assertFalse(self.holds(passes, 251.0, connected=False))
         self.assertFalse(self.holds(passes, 252.0))
 
-    def test_it_is_for_one_address(self):
+    def test_permit_applies_to_one_address(self):
         passes = Passes()
         passes.give("s", "a:1", 0.0)
         self.assertFalse(self.holds(passes, 1.0, address="a:2"))
