--- a/src/tarragonramp/leading.py
+++ b/src/tarragonramp/leading.py
@@ -1,8 +1,9 @@
-"""When a daemon may act as the one that gives keys to servers. Pure decisions.
+"""When a daemon may lead, that is, grant keys to servers. Decisions only, no I/O.
 
-One record in the store names the leader. Whoever writes it under its version leads;
-the others watch its version stand still. A leader goes on renewing grants for a while
-without the store, since nobody can take over without the store either.
+One record in the store names the leader. The daemon whose conditional write of it
+succeeds leads; the others watch whether its version still changes. A leader keeps
+renewing grants for a while without the store, because no other daemon can take over
+without the store either.
 """
 
 import attrs
@@ -10,32 +11,32 @@
 __all__ = ["LATE_GRANT_MS", "Inherited", "LeaderRecord", "LeaseTiming", "Standing"]
 
 LATE_GRANT_MS = 15_000.0
-"""How long a grant without an answer may still be on its way to be carried out."""
+"""How long an unanswered grant may be delayed before it takes effect."""
 
 
 @attrs.frozen
 class LeaseTiming:
-    """Times of leadership and of grants, in milliseconds.
+    """Timing of leadership and of grants, in milliseconds.
 
     Parameters
     ----------
     renew_ms : float
-        Between two writes of the leader's record.
+        Interval between two writes of the leader's record.
     lease_ms : float
-        A record that stood still for this long may be taken over. Three renewals, so
-        that one slow write costs no leadership.
+        A record that has not changed for this long may be taken over. Just under three
+        renewal intervals, so that one slow write does not cost the leadership.
     right_ms : float
-        How long a leader that hears nothing from the store goes on renewing grants.
-        Longer than most outages; the price is that a successor that cannot ask it
-        has to wait as long before time proves that a silent owner has let go.
+        How long a leader that cannot reach the store keeps renewing grants. Longer than
+        most outages; the price is that a successor that cannot reach the leader waits
+        as long before the grants of a silent owner have expired.
     hold_ms : float
-        What a grant is given for.
+        Duration of a grant.
     regrant_ms : float
-        Between two renewals of a grant: two may be lost.
+        Interval between two renewals of a grant: two may be lost.
     drift : float
-        How much slower a server's clock may run, as a factor.
+        Factor by which a server's clock may be slower.
     margin_ms : float
-        On top of a hold's end, for messages on their way.
+        Added to the end of a hold for messages in transit.
     """
 
     renew_ms: float = 800.0
@@ -48,7 +49,7 @@
 
     @classmethod
     def from_bounds(cls, bounds):
-        """Return the times for servers that take grants only up to some length."""
+        """Return the timing for servers that limit the duration of a grant."""
         usual = cls()
         hold_ms = min(usual.hold_ms, bounds.longest_hold_ms)
         return cls(
@@ -57,22 +58,22 @@
 
     @property
     def longest_hold_ms(self):
-        """How long after its arrival a grant may run."""
+        """How long after its arrival a grant may be valid."""
         return self.hold_ms * self.drift + self.margin_ms
 
 
 @attrs.frozen
 class LeaderRecord:
-    """Who leads.
+    """The record in the store that names the leader.
 
     Parameters
     ----------
     name : str
     boot_id : str
     address : str
-        Where its peers ask it, ``ip:port``.
+        The leader's peer address, ``ip:port``.
     term : int
-        Grows with each change of leader.
+        Increases with each change of leader.
     """
 
     name: str
@@ -81,12 +82,12 @@
     term: int
 
     def to_spec(self):
-        """Return the record as plain data."""
+        """Return the record as JSON-compatible data."""
         return attrs.asdict(self)
 
     @classmethod
     def from_spec(cls, spec):
-        """Return the record of plain data; ValueError if they are none."""
+        """Return the record for JSON-compatible data; ValueError if it is invalid."""
         try:
             return cls(
                 str(spec["name"]),
@@ -95,22 +96,21 @@
                 int(spec["term"]),
             )
         except (KeyError, TypeError) as error:
-            raise ValueError(f"no leader record: {error!r}") from error
+            raise ValueError(f"invalid leader record: {error!r}") from error
 
 
 @attrs.frozen
 class Inherited:
-    """What a leader knows of the grants that others gave before it.
+    """What a new leader knows of the grants of earlier leaders.
 
     Parameters
     ----------
     stopped_ms : float
-        When they have surely stopped, by the own clock.
+        When earlier leaders have stopped for certain, on this daemon's clock.
     in_doubt_until_ms : float
-        How long any of their grants may still be carried out late.
+        Until when any of their grants may still take effect.
     ranges : dict of (str, int, int) to float
-        The same by service, first key and token, for grants that are known to have had
-        no answer.
+        The same by service, first key and token, for grants known to be unanswered.
     """
 
     stopped_ms: float = 0.0
@@ -118,11 +118,11 @@
     ranges: dict = attrs.Factory(dict)
 
     def doubt_ends_ms(self, key):
-        """Return until when grants of a range may be carried out late."""
+        """Return until when delayed grants of a range may take effect."""
         return max(self.in_doubt_until_ms, self.ranges.get(key, 0.0))
 
     def to_message(self, now_ms):
-        """Return as plain data how long it still is until each doubt ends, in ms."""
+        """Return the remaining times in ms as JSON-compatible data."""
         rows = [
             [*key, until_ms - now_ms]
             for key, until_ms in self.ranges.items()
@@ -132,12 +132,13 @@
 
     @classmethod
     def from_message(cls, raw, now_ms):
-        """Return what an earlier leader told, that gives no more grants.
+        """Return the state that an earlier leader, which sends no more grants,
+        reported.
 
         Raises
         ------
         ValueError
-            If it told nothing of the kind.
+            If the message is malformed.
         """
         try:
             ranges = {
@@ -146,12 +147,14 @@
             }
             return cls(now_ms, now_ms + float(raw["all_ms"]), ranges)
         except (KeyError, TypeError, ValueError) as error:
-            raise ValueError(f"no doubts: {error!r}") from error
+            raise ValueError(
+                f"invalid message on grants in doubt: {error!r}"
+            ) from error
 
 
 @attrs.define
 class Standing:
-    """What this daemon knows of who leads.
+    """What this daemon knows of the leader.
 
     Parameters
     ----------
@@ -160,7 +163,7 @@
     timing : LeaseTiming
     record : LeaderRecord or None
     version : int
-        Of the record; 0 if there is none.
+        Version of the record; 0 if there is none.
     """
 
     address: str
@@ -168,32 +171,34 @@
     timing: LeaseTiming
     record: object = None
     version: int = 0
-    _seen_ms: float = 0.0
+    _changed_ms: float = 0.0
     _confirmed_ms: float = float("-inf")
-    _given_up: bool = False
+    _has_given_up: bool = False
 
     def saw(self, record, version, now_ms):
-        """Take in the record as it was read."""
+        """Process the record as read from the store."""
         if version != self.version:
-            self.record, self.version, self._seen_ms = record, version, now_ms
+            self.record, self.version, self._changed_ms = record, version, now_ms
 
     def confirmed(self, record, version, sent_ms):
-        """Take in that a write of the own record, sent at a time, was answered."""
-        self.record, self.version, self._seen_ms = record, version, sent_ms
+        """Record that a write of this daemon's record, sent at ``sent_ms``, was
+        confirmed.
+        """
+        self.record, self.version, self._changed_ms = record, version, sent_ms
         self._confirmed_ms = sent_ms
-        self._given_up = False
+        self._has_given_up = False
 
     def give_up(self):
-        """Stop leading, at once and until the next own write is answered."""
-        self._given_up = True
+        """Stop leading at once, until the next own write is confirmed."""
+        self._has_given_up = True
 
     @property
     def is_named(self):
-        """Whether the record names this very process."""
+        """Whether the record names this process."""
         return (
             self.record is not None
             and self.record.boot_id == self.boot_id
-            and not self._given_up
+            and not self._has_given_up
         )
 
     def may_renew(self, now_ms):
@@ -201,21 +206,23 @@
         return self.is_named and now_ms < self._confirmed_ms + self.timing.right_ms
 
     def may_move(self, now_ms):
-        """Tell whether keys may be moved now: only while nobody can have taken over."""
+        """Tell whether keys may be moved now: only while no other daemon can have taken
+        over.
+        """
         return self.is_named and now_ms < self._confirmed_ms + self.timing.lease_ms / 2
 
     def may_take_over(self, now_ms):
-        """Tell whether the record may be replaced by one that names this daemon.
+        """Tell whether this daemon may replace the record by its own.
 
-        At once if there is none, if it names nobody, or if it names an earlier
-        process at this address: that one's port is bound here, so it has ended.
+        At once if there is no record, if it names no daemon, or if it names an earlier
+        process at this address, which has ended because its port is bound here.
         """
         if self.record is None or not self.record.name:
             return True
         if self.record.address == self.address:
             return True
-        return now_ms >= self._seen_ms + self.timing.lease_ms
+        return now_ms >= self._changed_ms + self.timing.lease_ms
 
     def confirmed_age_ms(self, now_ms):
-        """Return how long ago the store last confirmed the own record."""
+        """Return how long ago the store last confirmed this daemon's record."""
         return now_ms - self._confirmed_ms
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -1,4 +1,4 @@
-"""When a daemon may lead, on its own clock only."""
+"""When a daemon may lead, by its own clock only."""
 
 import types
 import unittest
@@ -10,56 +10,56 @@
 OTHER = LeaderRecord("d2", "b9", "10.0.0.2:1", 2)
 
 
-class StandingTest(unittest.TestCase):
-    """One daemon and the record in the store."""
+class LeadershipStateTest(unittest.TestCase):
+    """One daemon and the leader's record in the store."""
 
     def setUp(self):
         self.standing = Standing("10.0.0.1:1", "b1", TIMING)
 
-    def test_a_living_leaders_record_is_not_taken_over(self):
+    def test_record_that_is_renewed_is_not_taken_over(self):
         now_ms = 0.0
         for version in range(1, 20):
             self.standing.saw(OTHER, version, now_ms)
             now_ms += TIMING.renew_ms
             self.assertFalse(self.standing.may_take_over(now_ms))
 
-    def test_a_record_that_stands_still_is_taken_over_after_the_lease(self):
+    def test_unchanged_record_is_taken_over_after_the_lease(self):
         self.standing.saw(OTHER, 5, 0.0)
         self.standing.saw(OTHER, 5, TIMING.lease_ms - 1)
         self.assertFalse(self.standing.may_take_over(TIMING.lease_ms - 1))
         self.assertTrue(self.standing.may_take_over(TIMING.lease_ms))
 
-    def test_an_earlier_process_at_this_address_has_ended(self):
+    def test_earlier_process_at_the_same_address_has_ended(self):
         self.standing.saw(LeaderRecord("d1", "b0", "10.0.0.1:1", 2), 5, 0.0)
         self.assertTrue(self.standing.may_take_over(1.0))
         self.assertFalse(self.standing.is_named)
 
-    def test_a_record_that_names_nobody_is_free(self):
+    def test_record_without_a_name_can_be_taken_over(self):
         self.standing.saw(LeaderRecord("", "", "", 4), 5, 0.0)
         self.assertTrue(self.standing.may_take_over(1.0))
 
-    def test_moves_end_before_anybody_can_have_taken_over(self):
-        """A leader that the store does not confirm renews, but moves nothing."""
+    def test_moves_stop_before_another_daemon_can_take_over(self):
+        """An unconfirmed leader renews grants but moves no keys."""
         self.standing.confirmed(OWN, 7, 1000.0)
         self.assertTrue(self.standing.may_move(1000.0 + TIMING.lease_ms / 2 - 1))
         self.assertFalse(self.standing.may_move(1000.0 + TIMING.lease_ms))
         self.assertTrue(self.standing.may_renew(1000.0 + TIMING.right_ms - 1))
         self.assertFalse(self.standing.may_renew(1000.0 + TIMING.right_ms))
 
-    def test_a_leader_that_was_told_stops_at_once(self):
+    def test_leader_that_gave_up_stops_at_once(self):
         self.standing.confirmed(OWN, 7, 1000.0)
         self.standing.give_up()
         self.assertFalse(self.standing.may_renew(1001.0))
 
-    def test_holds_are_no_longer_than_servers_take(self):
-        """A server refuses a longer grant, and would hold no key at all."""
+    def test_holds_are_limited_to_what_servers_accept(self):
+        """Guards against grants longer than a server accepts, which it would refuse."""
         short = LeaseTiming.from_bounds(types.SimpleNamespace(longest_hold_ms=3500.0))
         self.assertEqual(short.hold_ms, 3500.0)
         self.assertLess(2 * short.regrant_ms, short.hold_ms)
         usual = LeaseTiming.from_bounds(types.SimpleNamespace(longest_hold_ms=1e5))
         self.assertEqual(usual, TIMING)
 
-    def test_what_is_no_record_is_an_error(self):
+    def test_invalid_record_is_an_error(self):
         self.assertEqual(LeaderRecord.from_spec(OWN.to_spec()), OWN)
         for spec in ({}, {"name": "x"}, None, {**OWN.to_spec(), "term": "many"}):
             with self.assertRaises((ValueError, TypeError)):
