--- a/src/tarragonramp/fleet_view.py
+++ b/src/tarragonramp/fleet_view.py
@@ -1,4 +1,4 @@
-"""What one daemon knows of the fleet: routes, servers, owners and daemons."""
+"""State that one daemon has of the fleet: routes, servers, owners and daemons."""
 
 import attrs
 import xxhash
@@ -20,14 +20,15 @@
 
 MANIFEST, SERVER, TAKEN_OUT, RANGES = "manifest", "server", "domain-out", "ramp-ranges"
 FOLLOWED_KINDS = (MANIFEST, SERVER, TAKEN_OUT, RANGES)
-"""Kinds of objects that a view is made of, as the product calls them."""
+"""Kinds of objects that make up a view; a platform's adapter maps them to its own
+names."""
 
 
 @attrs.define(eq=False, repr=False)
 class FleetView:
-    """State that the roles of one daemon share.
+    """State that is shared by the roles of one daemon.
 
-    Versions only go up: whatever is older than what is here is left out.
+    Versions only increase: anything older than the current state is ignored.
 
     Parameters
     ----------
@@ -37,12 +38,12 @@
     tables : dict of str to RangeTable
         By service.
     daemons : dict of str to str
-        Addresses of all daemons heard of lately, by name.
+        Addresses of the recently active daemons, by name.
     watchers : frozenset of str
-        Names of those that a leader has told to follow the store; empty if this
-        daemon does not lead.
+        Names of the daemons that this daemon, as leader, has told to follow the store;
+        empty if it does not lead.
     work : WorkCounts
-        Of requests with keys that this daemon sent.
+        Load by key of the requests that this daemon sent.
     """
 
     clock: object
@@ -57,7 +58,6 @@
     _changed: Event = attrs.Factory(Event)
 
     def __attrs_post_init__(self):
-        """Begin with no servers."""
         self.directory = Directory(self.clock)
 
     @property
@@ -66,12 +66,14 @@
         return self.routes.manifest if self.routes else None
 
     def service(self, name):
-        """Return the FleetService of a name; one with defaults if it is unknown."""
+        """Return the FleetService of a name, or one with default values if it is
+        unknown.
+        """
         found = self.manifest.services.get(name) if self.manifest else None
         return found or FleetService(name)
 
     def take_routes(self, routes):
-        """Take in a manifest's routes; False if they are not newer."""
+        """Apply a manifest's routes; False if they are not newer."""
         current = self.manifest
         if current is not None and routes.manifest.version <= current.version:
             return False
@@ -80,7 +82,7 @@
         return True
 
     def take_table(self, table, version):
-        """Take in who owns a service's keys; False if it is not newer."""
+        """Apply the owners of a service's keys; False if they are not newer."""
         if version <= self._table_versions.get(table.service, 0):
             return False
         self.tables[table.service] = table
@@ -89,12 +91,12 @@
         return True
 
     def take_stored_table(self, stored):
-        """Take in who owns a service's keys, as the store has it; return the table.
+        """Apply a range table as stored, and return it.
 
         Raises
         ------
         ValueError
-            If that is no table.
+            If the stored object is not a valid table.
         """
         if self._table_versions.get(stored.name) == stored.version:
             return self.tables[stored.name]
@@ -103,14 +105,15 @@
         return table
 
     def take_exact_table(self, stored):
-        """Take in a table as it was read in the store itself, unless it is older.
+        """Apply a table that was read from the store itself, unless it is older.
 
-        Other daemons do not tell of raised tokens, which the version counts.
+        Updates from other daemons leave out raised tokens, although these change the
+        table's version. So a table of the same version is replaced as well.
 
         Raises
         ------
         ValueError
-            If that is no table.
+            If the stored object is not a valid table.
         """
         if stored.version >= self._table_versions.get(stored.name, 0):
             self._table_versions.pop(stored.name, None)
@@ -121,12 +124,12 @@
         return self._table_versions.get(service, 0)
 
     def digest(self):
-        """Return in few words what is known here, to compare with other daemons.
+        """Return a compact digest of the view, to compare it with other daemons.
 
         Returns
         -------
         digest : dict of str to object
-            By kind of what was read: plain data, equal if the same was read.
+            By kind of object; JSON-compatible values that are equal for equal contents.
         """
         servers = [
             f"{server.name} {server.life} {server.draining}"
@@ -135,20 +138,20 @@
         tables = [f"{name} {n}" for name, n in self._table_versions.items()]
         return {
             MANIFEST: self.manifest.version if self.manifest else 0,
-            SERVER: _hash(servers),
-            TAKEN_OUT: _hash(self.directory.taken_out),
-            RANGES: _hash(tables),
+            SERVER: _digest_of(servers),
+            TAKEN_OUT: _digest_of(self.directory.taken_out),
+            RANGES: _digest_of(tables),
         }
 
     def wait(self, timeout_ms):
-        """Wait until something changes; for the given time at most."""
+        """Wait for a change, up to a timeout."""
         self._changed.wait(max(0.0, timeout_ms) / 1000.0)
 
     def wake(self):
-        """Let everybody who waits for a change look again."""
+        """Wake all tasks that wait for a change."""
         changed, self._changed = self._changed, Event()
         changed.set()
 
 
-def _hash(words):
-    return xxhash.xxh32_hexdigest(" ".join(sorted(words)).encode())
+def _digest_of(lines):
+    return xxhash.xxh32_hexdigest(" ".join(sorted(lines)).encode())
--- a/src/tarragonramp/manifest.py
+++ b/src/tarragonramp/manifest.py
@@ -1,4 +1,6 @@
-"""What operators declared: routes by host and prefix, services, caller limits."""
+"""Configuration that operators declared: routes by host and prefix, services and
+limits.
+"""
 
 import attrs
 
@@ -10,13 +12,13 @@
 
 @attrs.frozen
 class Part:
-    """One of the services that a route's requests are divided among.
+    """One of the services that a route's requests are split among.
 
     Parameters
     ----------
     service : str
     weight : float
-        Its share, relative to those of the other parts.
+        Share of the requests, relative to the weights of the other parts.
     """
 
     service: str
@@ -25,7 +27,7 @@
 
 @attrs.frozen
 class Route:
-    """Where the requests below one path prefix of one host go.
+    """Destination of the requests for one host and path prefix.
 
     Parameters
     ----------
@@ -33,11 +35,12 @@
     parts : tuple of Part
     idempotent : bool
     timeout_ms, target_ms : float
-        Longest wait, and the time within which an answer has its full value.
+        Longest time to wait for a response, and the time within which a response has
+        its full value.
     attempts : int
-        Most servers that one request may be sent to.
+        Maximum number of servers that one request may be sent to.
     priority : int
-        0 goes first.
+        0 is the most urgent.
     """
 
     host: str
@@ -51,25 +54,25 @@
 
     @property
     def name(self):
-        """How logs call the route."""
+        """Name of the route in logs."""
         return f"{self.host}{self.path_prefix}"
 
 
 @attrs.frozen
 class FleetService:
-    """A service as its servers bear it.
+    """A service, with the capacity of its servers.
 
     Parameters
     ----------
     name : str
     divided : bool
-        Whether each key has one owner among its servers.
+        Whether each key has one owner among the servers.
     connections : int
-        Most connections that one server takes from all callers together.
+        Maximum number of connections that one server accepts from all callers together.
     warmup_ms : float
-        How long a server is cold after it started.
+        Duration of the cold start of a server.
     cold_per_s : float
-        Requests a second that a cold server bears.
+        Requests per second that a server can take in a cold start.
     """
 
     name: str
@@ -81,7 +84,7 @@
 
 @attrs.frozen
 class CallerLimits:
-    """What a caller may send, in bytes, and how slowly, in milliseconds."""
+    """Limits on callers' requests, in bytes, and their timeouts, in milliseconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 8_388_608
@@ -91,7 +94,7 @@
 
 @attrs.frozen(eq=False)
 class Manifest:
-    """One version of all that operators declared.
+    """One version of the operators' configuration.
 
     Parameters
     ----------
@@ -109,29 +112,28 @@
 
 @attrs.define(eq=False, repr=False)
 class RouteTable:
-    """Finds the route of a request, and the part that it goes to.
+    """Finds the route of a request and the service that the request goes to.
 
-    Load: hundreds of routes, a lookup for each request. Prefixes end with a slash, so
-    the longest match is found by one look into a dict for each slash of the path.
+    Prefixes end with a slash, so the longest match is found with one dict lookup per
+    slash of the path, even with hundreds of routes.
     """
 
     manifest: Manifest
     _by_host: dict = attrs.Factory(dict)
-    _turns: dict = attrs.Factory(dict)
-    _most_urgent: dict = attrs.Factory(dict)
+    _positions: dict = attrs.Factory(dict)
+    _top_priority: dict = attrs.Factory(dict)
 
     def __attrs_post_init__(self):
-        """Index the routes."""
         for route in self.manifest.routes:
             self._by_host.setdefault(route.host, {})[route.path_prefix] = route
             for part in route.parts:
-                known = self._most_urgent.get(part.service, route.priority)
-                self._most_urgent[part.service] = min(known, route.priority)
+                known = self._top_priority.get(part.service, route.priority)
+                self._top_priority[part.service] = min(known, route.priority)
 
     def is_urgent(self, route):
-        """Tell whether no other route to one of the same services is more urgent."""
+        """Tell whether no other route to one of its services is more urgent."""
         return any(
-            self._most_urgent[part.service] == route.priority for part in route.parts
+            self._top_priority[part.service] == route.priority for part in route.parts
         )
 
     def find(self, host, path):
@@ -155,24 +157,24 @@
             end = path.rfind("/", 0, end)
         return None
 
-    def part_of(self, route, first_turn=0.0):
+    def part_of(self, route, initial_position=0.0):
         """Return the service that the next request of a route goes to.
 
-        The golden ratio's multiples fill the unit interval evenly at every length, so
-        few requests already come close to the weights; a random draw would be off by
-        a tenth after a hundred.
+        Multiples of the golden ratio are spread evenly over the unit interval at any
+        length of the sequence, so the shares are close to the weights after a few
+        requests. Random draws would still be off by a tenth after a hundred requests.
 
         Parameters
         ----------
         route : Route
-        first_turn : float
-            Where this process begins, so that daemons do not move in step.
+        initial_position : float
+            Start of this process's sequence, so that daemons do not run in step.
         """
         if len(route.parts) == 1:
             return route.parts[0].service
-        turn = self._turns.get(route.name, first_turn)
-        self._turns[route.name] = (turn + GOLDEN_RATIO) % 1.0
-        at = turn * sum(part.weight for part in route.parts)
+        position = self._positions.get(route.name, initial_position)
+        self._positions[route.name] = (position + GOLDEN_RATIO) % 1.0
+        at = position * sum(part.weight for part in route.parts)
         for part in route.parts:
             at -= part.weight
             if at < 0:
--- a/src/tarragonramp/view.py
+++ b/src/tarragonramp/view.py
@@ -1,4 +1,4 @@
-"""What one daemon knows of the platform's objects."""
+"""The view that one daemon has of the platform's objects."""
 
 import attrs
 import cattrs
@@ -28,10 +28,10 @@
 __all__ = ["View", "assignment_name", "planner_role", "steward_role"]
 
 CONFIGURED_KINDS = (KIND_TEMPLATE, KIND_TEAM, KIND_FAILURE_DOMAIN)
-"""Kinds that operators declare: their newest version is the configuration's."""
+"""Kinds that operators declare; their newest version is that of the configuration."""
 
-# Fields of a newer version are passed over: during a rolling upgrade or rollback
-# daemons of both versions read each other's objects.
+# Unknown fields are ignored: during a rolling upgrade or rollback, daemons of both
+# releases read each other's objects.
 _CONVERTER = cattrs.Converter()
 _TYPES = {
     KIND_TEMPLATE: Template,
@@ -48,12 +48,12 @@
 
 
 def steward_role(team, service, server):
-    """Return the name of the term of a backend server's steward."""
+    """Return the role name of a backend server's steward."""
     return f"steward.{team}.{service}.{server}"
 
 
 def planner_role(team):
-    """Return the name of the term of a team's planner."""
+    """Return the role name of a team's planner."""
     return f"planner.{team}"
 
 
@@ -61,15 +61,15 @@
 class View:
     """The newest version seen of each object.
 
-    Versions only go up: an older object from a lagging watch, a peer or a restart
-    is dropped, so that an accepted configuration never reverts.
+    Versions only increase: an older object from a lagging watch, from a peer or after a
+    restart is dropped, so that an accepted configuration never reverts.
 
     Parameters
     ----------
     version : int
-        Every change up to it has been taken in.
+        All changes up to this version have been applied.
     newest : int
-        Highest version seen of anything, be it with gaps below.
+        Highest version seen of any object; earlier changes may be missing.
     """
 
     version: int = 0
@@ -78,19 +78,19 @@
     unreadable: dict = attrs.Factory(dict)
     _vms: VmList = attrs.Factory(VmList)
     _stored: dict = attrs.Factory(dict)
-    _typed: dict = attrs.Factory(dict)
+    _parsed: dict = attrs.Factory(dict)
     _by_kind: dict = attrs.Factory(dict)
-    _earlier: dict = attrs.Factory(dict)
+    _last_valid: dict = attrs.Factory(dict)
     _services: dict = attrs.Factory(dict)
-    _prefixes: list = attrs.Factory(list)
+    _by_prefix: list = attrs.Factory(list)
     _listeners: list = attrs.Factory(list)
 
     def on_change(self, listener):
-        """Call a function without arguments after every change."""
+        """Register a function that is called without arguments after every change."""
         self._listeners.append(listener)
 
     def apply(self, stored):
-        """Take in one object.
+        """Apply one object.
 
         Parameters
         ----------
@@ -99,7 +99,7 @@
         Returns
         -------
         newer : bool
-            False if it was dropped.
+            False if the object was dropped as outdated.
         """
         if stored.kind not in VIEWED_KINDS:
             return False
@@ -111,52 +111,52 @@
         self._by_kind.pop(stored.kind, None)
         self.newest = max(self.newest, stored.version)
         first_assignment = stored.kind == KIND_ASSIGNMENT and held is None
-        before = self._typed.pop(key, None)
+        before = self._parsed.pop(key, None)
         if before is not None and stored.kind in CONFIGURED_KINDS:
-            self._earlier[key] = before
+            self._last_valid[key] = before
         if stored.kind in CONFIGURED_KINDS:
             self.config_version = max(self.config_version, stored.version)
         if stored.kind in (KIND_TEMPLATE, KIND_TEAM) or first_assignment:
             self._expand_teams()
-        self._tell()
+        self._notify()
         return True
 
     def advance_to(self, version):
-        """Note that every change up to a version has been taken in."""
+        """Record that all changes up to a version have been applied."""
         self.version = max(self.version, version)
         self.newest = max(self.newest, version)
 
     @property
     def vms(self):
-        """The platform's list of VMs, by name; not to be altered."""
+        """The platform's list of VMs, by name; must not be modified."""
         return self._vms.by_name
 
     @property
     def vms_digest(self):
-        """Digest of the list of VMs; empty as long as none was seen."""
+        """Digest of the list of VMs; empty until a list has been seen."""
         return self._vms.digest
 
     def apply_vms(self, vms):
-        """Take in the platform's list of VMs."""
+        """Replace the list of VMs by the platform's."""
         if self._vms.replace(vms):
-            self._tell()
+            self._notify()
 
     def question(self, wait_ms, reached):
-        """Return the NewsQuestion that asks for all this view lacks."""
+        """Return the NewsQuestion that asks for everything missing here."""
         return NewsQuestion(
             self.version, self.newest, self.vms_digest, reached, wait_ms
         )
 
     def news_after(self, question, reached):
-        """Return the NewsAnswer with all that a question's sender lacks."""
+        """Return the NewsAnswer with everything that the sender of a question lacks."""
         items = [s for s in self._stored.values() if s.version > question.since]
         changes = self._vms.changes_from(question.vms_digest)
         return NewsAnswer(self.version, tuple(items), changes, reached)
 
     def apply_vm_changes(self, changes):
-        """Take in changes of the list of VMs."""
+        """Apply changes of the list of VMs."""
         if self._vms.apply(changes):
-            self._tell()
+            self._notify()
 
     def stored(self, kind, name):
         """Return the newest Stored of an object, or None if there is none."""
@@ -169,7 +169,7 @@
         return held is not None and held.spec is None
 
     def version_of(self, kind, name):
-        """Return the version a conditional update has to name; 0 for no object."""
+        """Return the version for a conditional update; 0 if there is no object."""
         held = self.stored(kind, name)
         return held.version if held else 0
 
@@ -179,40 +179,40 @@
         return held.version if held else 0
 
     def get(self, kind, name):
-        """Return an object as its attrs class, or None."""
+        """Return an object as an instance of its attrs class, or None."""
         key = (kind, name)
-        if key not in self._typed:
-            self._typed[key] = self._read(key)
-        return self._typed[key]
+        if key not in self._parsed:
+            self._parsed[key] = self._get_valid(key)
+        return self._parsed[key]
 
-    def _read(self, key):
-        """Return an object as its attrs class.
+    def _get_valid(self, key):
+        """Return an object as an instance of its attrs class.
 
-        A declaration that cannot be read, because somebody wrote it past the
-        checks, leaves the one before in force; ``unreadable`` names it. Raised, the
-        error would stop this daemon from following any change at all.
+        An invalid declaration, written without the usual checks, leaves the last valid
+        one in force and is listed in ``unreadable``. If the error were raised, this
+        daemon would not apply any further change.
         """
         held = self.stored(*key)
         self.unreadable.pop(key, None)
         if held is None:
             return None
         if held.kind not in CONFIGURED_KINDS:
-            return _structured(held)
+            return _parse(held)
         try:
-            return _structured(held)
+            return _parse(held)
         except Exception as error:
             self.unreadable[key] = "; ".join(cattrs.transform_error(error))
-            return self._earlier.get(key)
+            return self._last_valid.get(key)
 
     def all_of(self, kind):
-        """Return a new dict of name to attrs object of a kind."""
+        """Return a new dict of all objects of a kind, by name."""
         return dict(self._all_of(kind))
 
     def _all_of(self, kind):
-        """Return the same dict until an object of the kind changes.
+        """Return the objects of a kind; the same dict until one of them changes.
 
-        Load: every ping and every look at a term needs the members. Harm prevented:
-        a scan of all objects for each, which grows with the fleet.
+        Every ping and every check of a term needs the members. Scanning all objects
+        each time would cost more the larger the fleet is.
         """
         if kind not in self._by_kind:
             names = [n for k, n in self._stored if k == kind]
@@ -229,21 +229,23 @@
         return self.get(KIND_ASSIGNMENT, assignment_name(team, service))
 
     def member_of(self, identity):
-        """Return the Member that is this very process, or None."""
+        """Return the Member of exactly this process, or None."""
         member = self.get(KIND_MEMBER, identity.partition("#")[0])
         return member if member and member.identity == identity else None
 
     def members(self):
-        """Return registered daemons by name; not to be altered."""
+        """Return the registered daemons by name; must not be modified."""
         return self._all_of(KIND_MEMBER)
 
     def domain_in(self, failure_domain):
-        """Tell whether a failure domain takes new work."""
+        """Tell whether a failure domain is given new work."""
         order = self.get(KIND_FAILURE_DOMAIN, failure_domain)
         return order is None or order.state == IN
 
     def domain_lost(self, failure_domain):
-        """Tell whether an operator declared that nothing runs there any more."""
+        """Tell whether an operator has declared that no process runs in a failure
+        domain.
+        """
         order = self.get(KIND_FAILURE_DOMAIN, failure_domain)
         return order is not None and order.state == LOST
 
@@ -257,8 +259,8 @@
         return self._services
 
     def service_at(self, path):
-        """Return ``(team, Service)`` with the longest prefix of a path, or None."""
-        for prefix, team, service in self._prefixes:
+        """Return ``(team, Service)`` for the longest matching path prefix, or None."""
+        for prefix, team, service in self._by_prefix:
             if path.startswith(prefix):
                 rest = path[len(prefix) :]
                 if not rest or rest[0] == "/" or prefix.endswith("/"):
@@ -266,10 +268,10 @@
         return None
 
     def servers_of(self, team, service):
-        """Return the listed VMs of a service, by name; not to be altered."""
+        """Return the listed VMs of a service, by name; must not be modified."""
         return self._vms.of_service(team, service)
 
-    def _tell(self):
+    def _notify(self):
         for listener in self._listeners:
             listener()
 
@@ -283,25 +285,25 @@
             if not is_successful(expanded):
                 continue
             for service in expanded.unwrap():
-                services[name, service.name] = self._as_assigned(name, service)
+                services[name, service.name] = self._with_assigned_slices(name, service)
         self._services = services
-        self._prefixes = sorted(
+        self._by_prefix = sorted(
             (
                 (s.path_prefix, team, s)
                 for (team, _), s in services.items()
                 if not self.leaving(team)
             ),
-            # By name among equals: all daemons have to choose the same one, in
-            # whatever order they came to know the teams.
+            # Ties are resolved by name: all daemons must choose the same service, in
+            # whatever order they learned of the teams.
             key=lambda item: (-len(item[0]), item[1]),
         )
 
-    def _as_assigned(self, team, service):
-        """Return a service with the number of slices that its assignment has.
+    def _with_assigned_slices(self, team, service):
+        """Return a service with the number of slices of its assignment.
 
-        Guards against two operators whose changes of template and team pass the
-        checks at the same moment: the assignment never changes its length, so all
-        daemons send a key to the same slice.
+        Guards against concurrent changes of template and team that both pass the
+        checks. The length of an assignment never changes, so all daemons map a key to
+        the same slice.
         """
         assignment = service.divided and self.assignment(team, service.name)
         if not assignment:
@@ -309,7 +311,7 @@
         return attrs.evolve(service, n_slices=len(assignment.slices))
 
 
-def _structured(stored):
+def _parse(stored):
     if stored.kind == KIND_ASSIGNMENT:
         return Assignment.from_spec(stored.spec)
     wanted = _TYPES.get(stored.kind)
--- a/tests/test_fleet_routes.py
+++ b/tests/test_fleet_routes.py
@@ -1,4 +1,4 @@
-"""Where requests go: longest prefixes, shares of a split, the manifest's version."""
+"""Routes by longest prefix, shares of a split, and the version of the manifest."""
 
 import collections
 import unittest
@@ -15,7 +15,7 @@
 
 
 class RouteTableTest(unittest.TestCase):
-    """Requests by host and path."""
+    """Lookup by host and path."""
 
     def setUp(self):
         self.table = RouteTable(
@@ -30,7 +30,7 @@
             )
         )
 
-    def test_the_longest_prefix_that_ends_at_a_slash_wins(self):
+    def test_longest_prefix_that_ends_at_a_slash_wins(self):
         for path, wanted in (
             ("/a/x", "/a/"),
             ("/a/b/x", "/a/b/"),
@@ -42,13 +42,13 @@
             found = self.table.find("h.example", path)
             self.assertEqual(found and found.path_prefix, wanted, path)
 
-    def test_hosts_are_kept_apart_and_a_port_is_no_part_of_one(self):
+    def test_routes_are_matched_by_host_without_port(self):
         self.assertIsNone(self.table.find("none.example", "/a/"))
         found = self.table.find("other.example:8080", "/a/")
         self.assertEqual(found.path_prefix, "/")
 
-    def test_a_split_is_kept_within_a_few_requests(self):
-        """Nine daemons with some tens of requests each are judged by their sum."""
+    def test_split_is_accurate_after_few_requests(self):
+        """The shares of nine daemons with a few dozen requests each are summed up."""
         found = self.table.find("h.example", "/s/")
         counts = collections.Counter(
             RouteTable(self.table.manifest).part_of(found, turn / 9.0)
@@ -58,7 +58,7 @@
             counts[self.table.part_of(found, 0.3)] += 1
         self.assertAlmostEqual(counts["two"] / sum(counts.values()), 0.1, delta=0.03)
 
-    def test_the_most_urgent_route_of_a_service(self):
+    def test_most_urgent_route_of_a_service(self):
         urgent = self.table.find("h.example", "/a/b/x")
         other = self.table.find("h.example", "/a/x")
         self.assertTrue(self.table.is_urgent(urgent))
@@ -66,9 +66,9 @@
 
 
 class VersionTest(unittest.TestCase):
-    """A manifest in force is never followed by an older one."""
+    """A manifest in force is never replaced by an older one."""
 
-    def test_older_ones_are_left_out(self):
+    def test_older_manifests_are_ignored(self):
         view = FleetView(ManualClock())
         self.assertTrue(view.take_routes(RouteTable(Manifest(7))))
         self.assertFalse(view.take_routes(RouteTable(Manifest(5))))
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -1,4 +1,4 @@
-"""What a daemon makes of objects that other versions and other hands have written."""
+"""How a view handles objects of other releases and invalid objects."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 def view_of(*specs):
-    """Return a view that has seen specs of kind, name, spec in this order."""
+    """Return a view that has applied (kind, name, spec) items in this order."""
     view = View()
     for version, (kind, name, spec) in enumerate(specs, 1):
         view.apply(Stored(kind, name, version, spec))
@@ -17,7 +17,7 @@
 
 
 class ViewTest(unittest.TestCase):
-    """Objects as they come from the platform."""
+    """Objects as read from the platform."""
 
     def test_an_older_version_is_dropped(self):
         """A lagging watch shows a failure domain as it was before it was taken out."""
@@ -26,11 +26,12 @@
         self.assertFalse(view.apply(Stored("FailureDomain", "a", 5, {"state": "in"})))
         self.assertFalse(view.domain_in("a"))
 
-    def test_fields_of_a_newer_version_are_passed_over(self):
-        """A rolling upgrade is under way, and then taken back.
+    def test_fields_of_a_newer_release_are_ignored(self):
+        """Guards against daemons that stop at fields of a newer release.
 
-        Old daemons read what new ones wrote; one that stops at an unknown field
-        follows no change any more, and callers see an old configuration.
+        During a rolling upgrade or its rollback, old daemons read objects of new ones.
+        A daemon that fails on an unknown field would apply no further change, and
+        callers would be served by an old configuration.
         """
         view = view_of(
             ("Template", "desk", {"services": [SERVICE], "parameters": {}, "new": 1}),
@@ -38,10 +39,10 @@
         )
         self.assertIn(("valley", "records"), view.services())
 
-    def test_a_declaration_that_cannot_be_read_leaves_the_one_before(self):
-        """Somebody writes a team past the command, with a fault in it.
+    def test_invalid_declaration_keeps_the_last_valid_one(self):
+        """A team with an error in it is written without the command's checks.
 
-        The daemons go on with the last good one and say so.
+        The daemons keep the last valid declaration and report the error.
         """
         view = view_of(
             ("Template", "desk", {"services": [SERVICE]}),
@@ -53,7 +54,7 @@
         view.apply(Stored("Team", "valley", 9, {"template": "desk"}))
         self.assertEqual(view.unreadable, {})
 
-    def test_a_leaving_team_takes_no_requests(self):
+    def test_team_being_deleted_takes_no_requests(self):
         view = view_of(
             ("Template", "desk", {"services": [SERVICE]}),
             ("Team", "valley", {"template": "desk"}),
@@ -64,10 +65,11 @@
         self.assertIsNone(view.service_at("/records"))
         self.assertIn(("valley", "records"), view.services())
 
-    def test_the_assignment_says_how_many_slices_there_are(self):
-        """Two operators change a template and declare its team at the same moment.
+    def test_assignment_determines_the_number_of_slices(self):
+        """Guards against a change of the number of slices while keys have owners.
 
-        Both pass the checks; the number of slices changes under keys with owners.
+        Two operators change a template and declare its team at the same time, and both
+        changes pass the checks.
         """
         divisor = {"source": "header", "name": "X-Record"}
         assignment = {
@@ -86,7 +88,7 @@
         )
         self.assertEqual(view.service_at("/records")[1].n_slices, 64)
 
-    def test_daemons_choose_the_same_one_of_two_teams_at_one_path(self):
+    def test_teams_with_the_same_path_are_resolved_by_name(self):
         teams = [("Team", name, {"template": "desk"}) for name in ("b", "a")]
         desk = ("Template", "desk", {"services": [SERVICE]})
         for order in (teams, teams[::-1]):
