--- a/src/tarragonramp/directory.py
+++ b/src/tarragonramp/directory.py
@@ -1,6 +1,6 @@
-"""Which backend servers there are, and what each may be sent.
+"""The known backend servers, and whether each may be sent requests.
 
-Pure state: the store's entries go in, answers to "may I send there" come out.
+State only, no I/O: updated with the store's entries.
 """
 
 import math
@@ -10,31 +10,33 @@
 __all__ = ["BackendServer", "Directory"]
 
 RETURN_GRACE_MS = 2500.0
-"""After an outage of the store, entries that lapsed meanwhile come back within two
-seconds; a server still missing then is gone. The half second is for the way here."""
+"""How long the entry of a server may be missing after an outage of the store. Entries
+that expired during the outage return within two seconds; the half second allows for
+their way to this daemon."""
 
 MISSING_USE_MS = 1400.0
-"""How long a server whose entry is missing is still sent requests. Load: the store
-returns, and with it the news that entries lapsed. Harm prevented: a service without
-servers until they are back. Short of the two seconds after which a server that has
-really left may get nothing more."""
+"""How long a server whose entry is missing is still sent requests. When the store
+returns and reports expired entries, a service would otherwise have no servers until
+they have registered again. Less than the two seconds after which a server that has left
+must not be sent requests."""
 
 
 @attrs.frozen
 class BackendServer:
-    """What a backend server says of itself.
+    """A backend server as described by its own entry.
 
     Parameters
     ----------
     name : str
         Its id.
     life : int
-        Unix millisecond of its start: another life holds nothing that this one held.
+        Start time of the process in Unix milliseconds. Keys granted to one process are
+        not held by another.
     service, address, failure_domain : str
     slots : int
     draining : bool
     cold_ms : float
-        How much longer it was cold when it wrote this.
+        Remaining cold start when the entry was written.
     """
 
     name: str
@@ -48,19 +50,19 @@
 
     @property
     def identity(self):
-        """Name and life: what a grant is given to."""
+        """Name and life, which identify the process that a grant is for."""
         return self.name, self.life
 
 
 @attrs.define(eq=False, repr=False)
 class Directory:
-    """The backend servers as this process knows them.
+    """The backend servers that this daemon knows.
 
     Parameters
     ----------
     clock : Clock
     servers : dict of str to BackendServer
-        All that may still be alive, draining ones among them.
+        All servers that may still be running, including draining ones.
     taken_out : frozenset of str
         Failure domains that get no work.
     """
@@ -68,36 +70,36 @@
     clock: object
     servers: dict = attrs.Factory(dict)
     taken_out: frozenset = frozenset()
-    _cold_until_ms: dict = attrs.Factory(dict)
-    _seen_cold: set = attrs.Factory(set)
+    _cold_end_ms: dict = attrs.Factory(dict)
+    _cold_start_recorded: set = attrs.Factory(set)
     _missing_since_ms: dict = attrs.Factory(dict)
     _by_service: dict = attrs.Factory(dict)
 
     def take(self, server):
-        """Take in one server's entry."""
+        """Add or replace a server's entry."""
         before = self.servers.get(server.name)
         self.servers[server.name] = server
         self._missing_since_ms.pop(server.name, None)
-        if server.cold_ms > 0 and server.identity not in self._seen_cold:
-            # Once a life: entries are written seconds apart, and an old one read
-            # late would make a warm server cold again.
-            self._seen_cold.add(server.identity)
+        if server.cold_ms > 0 and server.identity not in self._cold_start_recorded:
+            # Once per process: entries are written seconds apart, and an old one that
+            # is read late would mark a warm server as cold again.
+            self._cold_start_recorded.add(server.identity)
             self.note_cold(server.name, server.cold_ms)
         elif before is not None and before.life != server.life:
-            self._cold_until_ms.pop(server.name, None)
+            self._cold_end_ms.pop(server.name, None)
         self._by_service.clear()
 
     def lose(self, name, may_return=False, missing_ms=0.0):
-        """Take in that a server's entry is gone.
+        """Remove a server whose entry is gone, or mark it as missing.
 
         Parameters
         ----------
         name : str
         may_return : bool, default=False
-            Whether the store has just been away: entries that lapsed meanwhile have
-            a grace in which to come back.
+            Whether the store has just failed: the server is then only marked as
+            missing, since its entry may have expired and may return.
         missing_ms : float, default=0.0
-            For how long, as far as is known.
+            How long the entry has been missing, as far as known.
         """
         if may_return and name in self.servers:
             since_ms = self.clock.now_ms() - missing_ms
@@ -108,16 +110,16 @@
         self._by_service.clear()
 
     def missing_ms(self, name):
-        """Return how long a server's entry has been missing; None if it is there."""
+        """Return how long a server's entry has been missing; None if it is present."""
         since_ms = self._missing_since_ms.get(name)
         return None if since_ms is None else self.clock.now_ms() - since_ms
 
     def all_missing_ms(self):
-        """Return for how long each server that may come back has been missing."""
+        """Return how long the entry of each missing server has been missing."""
         return {name: round(self.missing_ms(name)) for name in self._missing_since_ms}
 
     def drop_missing(self):
-        """Remove the servers whose grace is over; return their names."""
+        """Remove the servers whose grace period has ended; return their names."""
         limit_ms = self.clock.now_ms() - RETURN_GRACE_MS
         late = [n for n, since in self._missing_since_ms.items() if since <= limit_ms]
         for name in late:
@@ -125,10 +127,10 @@
         return late
 
     def set_taken_out(self, domains, warmup_of):
-        """Take in which failure domains get no work.
+        """Set the failure domains that get no work.
 
-        Servers of a domain that is taken back may have become cold unsaid, so they
-        count as cold for their service's whole warm-up.
+        Servers of a returning domain may have become cold without reporting it, so they
+        count as cold for the whole warm-up time of their service.
         """
         returned = self.taken_out - frozenset(domains)
         self.taken_out = frozenset(domains)
@@ -138,23 +140,23 @@
                 self.note_cold(server.name, warmup_of(server.service))
 
     def note_cold(self, name, for_ms):
-        """Take in that a server is cold for some time from now."""
+        """Mark a server as cold for some time from now."""
         until_ms = self.clock.now_ms() + for_ms
-        self._cold_until_ms[name] = max(self._cold_until_ms.get(name, 0.0), until_ms)
+        self._cold_end_ms[name] = max(self._cold_end_ms.get(name, 0.0), until_ms)
 
     def is_cold(self, name):
-        """Tell whether a server bears only a little load now."""
-        return self._cold_until_ms.get(name, -math.inf) > self.clock.now_ms()
+        """Tell whether a server is in a cold start and can take only little load."""
+        return self._cold_end_ms.get(name, -math.inf) > self.clock.now_ms()
 
     def may_serve(self, server):
-        """Tell whether a server may be sent new requests, cold or not."""
+        """Tell whether a server, cold or not, may be sent new requests."""
         if server.draining or server.failure_domain in self.taken_out:
             return False
         missing_ms = self.missing_ms(server.name)
         return missing_ms is None or missing_ms < MISSING_USE_MS
 
     def usable(self, service):
-        """Return a tuple of the servers of a service that may be sent requests."""
+        """Return a tuple of a service's servers that may be sent requests."""
         found = self._by_service.get(service)
         if found is None or self._missing_since_ms:
             found = self._by_service[service] = tuple(
--- a/src/tarragonramp/news.py
+++ b/src/tarragonramp/news.py
@@ -1,4 +1,4 @@
-"""What daemons tell each other about changes."""
+"""Messages by which daemons exchange updates."""
 
 import attrs
 
@@ -10,18 +10,18 @@
 
 @attrs.frozen
 class NewsQuestion:
-    """Ask another daemon for what this one lacks.
+    """Asks another daemon for everything that the sender lacks.
 
     Parameters
     ----------
     since : int
-        The sender has taken in every change up to this version.
+        The sender has applied all changes up to this version.
     newest : int
-        Highest version it has seen.
+        Highest version that the sender has seen.
     vms_digest : str
-        Of its list of VMs.
+        Digest of the sender's list of VMs.
     reached : bool
-        Whether it believes that news of the platform arrives.
+        Whether the sender believes that it gets the platform's updates.
     wait_ms : float
         How long the answer may wait for something new.
     """
@@ -35,17 +35,17 @@
 
 @attrs.frozen
 class NewsAnswer:
-    """What the other daemon knows beyond the question.
+    """Everything that a daemon knows beyond a question.
 
     Parameters
     ----------
     version : int
-        The items are complete up to it.
+        The items are complete up to this version.
     items : tuple of Stored
     vms : VmChanges or None
-        None if the list of VMs is the same.
+        None if the list of VMs is unchanged.
     reached : bool
-        Whether news of the platform arrives there.
+        Whether this daemon gets the platform's updates.
     """
 
     version: int
--- a/src/tarragonramp/roster.py
+++ b/src/tarragonramp/roster.py
@@ -1,4 +1,4 @@
-"""Servers in an order that daemons agree on, so that counts are told by position."""
+"""Sorted names on which daemons agree, so that counts can be sent by position."""
 
 import attrs
 import xxhash
@@ -8,46 +8,48 @@
 
 @attrs.frozen(eq=False)
 class Roster:
-    """Some names, sorted.
+    """A sorted set of names.
 
-    Load: counts for each of some hundred servers, told to each daemon twice a second.
-    Harm prevented: names, which do not compress, filling the link of the VM that leads.
+    Counts for several hundred servers are sent to each daemon twice a second. Names do
+    not compress well and would fill the link of the VM that leads.
 
     Parameters
     ----------
     names : tuple of str
     mark : str
-        Differs if the names do.
+        Digest of the names.
     """
 
     names: tuple
-    mark: str
+    digest: str
 
     @classmethod
     def of(cls, names):
-        """Return the roster of some names."""
+        """Return the roster of a collection of names."""
         ordered = tuple(sorted(names))
         return cls(ordered, xxhash.xxh64_hexdigest(" ".join(ordered).encode()))
 
     def pack(self, counts):
-        """Return counts by name as plain data; those of other names are left out."""
-        return [self.mark, [counts.get(name, 0) for name in self.names]]
+        """Return counts by name as JSON-compatible data; counts of unlisted names are
+        dropped.
+        """
+        return [self.digest, [counts.get(name, 0) for name in self.names]]
 
     def unpack(self, message):
-        """Return the counts of a message by name, without zeros.
+        """Return the non-zero counts of a message by name.
 
         Returns
         -------
         counts : dict of str to int, or None
-            None if the sender knows other names.
+            None if the sender has different names.
 
         Raises
         ------
         ValueError
-            If it is no such message.
+            If the message is malformed.
         """
-        mark, counts = message
-        if mark != self.mark:
+        digest, counts = message
+        if digest != self.digest:
             return None
         pairs = zip(self.names, counts, strict=True)
         return {name: count for name, count in pairs if count}
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Which servers may be sent requests, by what they and the store say."""
+"""Which servers may be sent requests, by their entries and the state of the store."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class DirectoryTest(unittest.TestCase):
-    """One service with a few servers, on a manual clock."""
+    """One service with one server, on a manual clock."""
 
     def setUp(self):
         self.clock = ManualClock(50_000.0)
@@ -27,7 +27,7 @@
         """Return the names of usable servers."""
         return {server.name for server in self.directory.usable("desk")}
 
-    def test_draining_and_evacuated_get_nothing(self):
+    def test_draining_and_evacuated_servers_are_not_usable(self):
         self.assertEqual(self.usable(), {"s1"})
         self.directory.take(attrs.evolve(SERVER, draining=True))
         self.assertEqual(self.usable(), set())
@@ -35,8 +35,8 @@
         self.directory.set_taken_out({"a"}, lambda service: 3000.0)
         self.assertEqual(self.usable(), set())
 
-    def test_servers_of_a_domain_that_is_taken_back_count_as_cold(self):
-        """They may have become cold unsaid; the full load would end them."""
+    def test_servers_of_a_returning_domain_count_as_cold(self):
+        """They may have become cold without reporting it and would be overloaded."""
         self.directory.set_taken_out({"a"}, lambda service: 3000.0)
         self.directory.set_taken_out(set(), lambda service: 3000.0)
         self.assertEqual(self.usable(), {"s1"})
@@ -44,10 +44,10 @@
         self.clock.advance(3001.0)
         self.assertFalse(self.directory.is_cold("s1"))
 
-    def test_a_lapsed_entry_may_come_back_after_an_outage(self):
-        """The store was away and its entries lapsed, though the servers live.
+    def test_expired_entry_may_return_after_an_outage(self):
+        """Guards against a service without servers after an outage of the store.
 
-        Callers would find a service without servers until they are back.
+        Entries expire during the outage although the servers are running.
         """
         self.directory.lose("s1", may_return=True)
         self.assertEqual(self.usable(), {"s1"})
@@ -56,11 +56,11 @@
         self.assertEqual(self.directory.drop_missing(), [])
         self.assertEqual(self.usable(), {"s1"})
 
-    def test_a_server_that_left_during_trouble_gets_nothing_after_two_seconds(self):
-        """A day on which 22 requests reached servers that had left 2 s before.
+    def test_server_that_left_during_store_failures_is_unusable_after_two_seconds(self):
+        """Guards against sending requests to servers that left more than 2 s ago.
 
-        The store had just been in trouble, so their missing entries were taken for
-        lapsed ones, and they were sent requests for two and a half seconds.
+        Shortly after a failure of the store, missing entries are taken for expired
+        ones. Servers were then sent requests for 2.5 s (22 requests on one day).
         """
         self.directory.lose("s1", may_return=True)
         self.clock.advance(MISSING_USE_MS)
@@ -69,8 +69,8 @@
         self.clock.advance(RETURN_GRACE_MS)
         self.assertEqual(self.directory.drop_missing(), ["s1"])
 
-    def test_a_server_is_cold_once_a_life(self):
-        """Entries are written seconds apart; an old one read late changes nothing."""
+    def test_server_is_cold_once_per_process(self):
+        """Entries are written seconds apart; one that is read late changes nothing."""
         cold = attrs.evolve(SERVER, name="s2", cold_ms=3000.0)
         self.directory.take(cold)
         self.assertTrue(self.directory.is_cold("s2"))
--- a/tests/test_removals.py
+++ b/tests/test_removals.py
@@ -59,7 +59,7 @@
 
     def test_malformed_message_is_an_error(self):
         roster = Roster.of(["a", "b"])
-        for message in ([roster.mark, [1]], [], [1, 2, 3]):
+        for message in ([roster.digest, [1]], [], [1, 2, 3]):
             with self.assertRaises(ValueError):
                 roster.unpack(message)
 
