--- a/src/tarragonramp/assignments.py
+++ b/src/tarragonramp/assignments.py
@@ -1,4 +1,4 @@
-"""Rules that stewards and planners follow on an assignment, without I/O."""
+"""Rules for stewards and planners on an assignment, without I/O."""
 
 import collections
 
@@ -10,24 +10,24 @@
 
 
 def may_grant(assignment, server, term):
-    """Tell whether a steward may hand out what an assignment gives a server.
+    """Tell whether a steward may grant a server what an assignment gives it.
 
-    Guards against a steward with a lagging view that grants a slice which was moved
-    away on an earlier steward's proof: the write that shows its term is conditional
-    on the newest assignment, and later moves need its own proof.
+    Guards against a steward with a stale view that grants a slice which was moved on
+    the proof of an earlier steward. The write that records the steward's term is
+    conditional on the newest assignment, and later moves need this steward's own proof.
 
     Parameters
     ----------
     assignment : Assignment or None
     server : str
     term : int
-        The steward's.
+        The steward's term.
     """
     return assignment is not None and assignment.stewards.get(server) == term
 
 
 def registration(assignment, server, term, request_id):
-    """Return the assignment that shows a steward's term, or None.
+    """Return the assignment with a steward's term recorded, or None.
 
     Parameters
     ----------
@@ -39,8 +39,8 @@
     Returns
     -------
     assignment : Assignment or None
-        None if there is nothing to write: no assignment yet, the term is shown, or a
-        later steward's is.
+        None if there is nothing to write: there is no assignment yet, or this term or a
+        later one is recorded already.
     """
     if assignment is None or assignment.stewards.get(server, 0) >= term:
         return None
@@ -49,7 +49,7 @@
 
 
 def tokens_of(assignment, server):
-    """Return the fencing token of each slice that a server owns.
+    """Return the fencing tokens of the slices that a server owns, by slice.
 
     Parameters
     ----------
@@ -64,9 +64,9 @@
 
 
 def questions(assignment):
-    """Return, by server, the slices whose release has to be proved."""
-    found = collections.defaultdict(list)
+    """Return the slices whose release has to be proved, by server."""
+    slices_by_server = collections.defaultdict(list)
     for index, item in enumerate(assignment.slices):
         if item.state == RELEASING:
-            found[item.server].append(index)
-    return dict(found)
+            slices_by_server[item.server].append(index)
+    return dict(slices_by_server)
--- a/src/tarragonramp/model.py
+++ b/src/tarragonramp/model.py
@@ -1,4 +1,4 @@
-"""Data that daemons, the command and the platform share."""
+"""Data model shared by daemons, the operators' command and the platform."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 __all__ = [
     "Assignment",
     "CallerClass",
-    "Divisor",
+    "KeySource",
     "FailureDomain",
     "Member",
     "Parameter",
@@ -40,7 +40,8 @@
     KIND_MEMBER,
     KIND_STATUS,
 )
-"""Kinds that daemons follow; the audit trail only grows and is read when asked for."""
+"""Kinds that daemons follow. The audit trail is left out: it only grows and is read on
+demand."""
 
 OWNED = "owned"
 RELEASING = "releasing"
@@ -53,8 +54,8 @@
 HOLD = "hold"
 
 MAX_SLICES = 16_384
-"""Most slices of a service: an assignment fits into one value of the platform even
-if every slice has another owner than its neighbours."""
+"""Maximum number of slices of a service: an assignment fits into one value of the
+platform even if no two neighbouring slices have the same owner."""
 
 LIVE = "live"
 DEPARTED = "departed"
@@ -66,15 +67,15 @@
 
 @attrs.frozen
 class Stored:
-    """One object as the platform holds it.
+    """One object as stored by the platform.
 
     Parameters
     ----------
     kind, name : str
     version : int
-        Grows with every write to the platform; 0 stands for no object.
+        Increases with every write to the platform; 0 means that there is no object.
     spec : dict or None
-        None once the object is deleted.
+        None if the object is deleted.
     """
 
     kind: str
@@ -85,18 +86,18 @@
 
 @attrs.frozen
 class Vm:
-    """A VM from the platform's lagging list.
+    """A VM in the platform's list, which may lag behind.
 
     Parameters
     ----------
     name : str
     address : str
-        ``ip:port`` of the backend server on it.
+        ``ip:port`` of its backend server.
     failure_domain : str
     team, service : str
-        What the backend server serves.
+        Team and service that the backend server belongs to.
     state : {"live", "departing", "departed"}
-        A departing VM still runs; a departed one runs nothing any more.
+        A departing VM is still running; on a departed one no process runs any more.
     """
 
     name: str
@@ -109,19 +110,19 @@
 
 @attrs.frozen
 class Member:
-    """A daemon that has registered.
+    """A registered daemon.
 
     Parameters
     ----------
     name : str
     boot_id : str
-        New with every process.
+        Unique for each process.
     failure_domain : str
     control_address, peer_address : str
         ``ip:port`` for HTTP control and for gRPC.
     unproven : tuple of str
-        Boot ids of earlier processes of this name that may still run, because they
-        had other addresses.
+        Boot ids of earlier processes of this name that may still run, because they had
+        other addresses.
     """
 
     name: str
@@ -133,19 +134,20 @@
 
     @property
     def identity(self):
-        """Name and boot id: one process, never its successor."""
+        """Name and boot id, which identify one process."""
         return f"{self.name}#{self.boot_id}"
 
 
 @attrs.frozen
-class Divisor:
+class KeySource:
     """Where a request carries the key of a divided service.
 
     Parameters
     ----------
     source : {"none", "header", "path", "query"}
     name : str
-        Header or query field; for ``path`` the zero-based part after the prefix.
+        Name of the header or query field; for ``path``, the zero-based index of the
+        path segment after the prefix.
     """
 
     source: str = attrs.field(
@@ -156,7 +158,7 @@
 
 @attrs.frozen
 class CallerClass:
-    """Requests that share priority and deadline.
+    """A class of requests with the same priority and deadline.
 
     Parameters
     ----------
@@ -164,13 +166,13 @@
     methods : tuple of str
         Methods that belong to the class.
     path_prefix : str
-        Paths, below the service's prefix, that belong to it.
+        Path prefix of the class, relative to the service's prefix.
     priority : int
-        Lower goes first.
+        Lower values are served first.
     deadline_ms : int
-        How long a caller of the class waits at most.
+        Maximum time that a caller of the class waits.
     idempotent : bool
-        Whether a request may be run again after an unknown outcome.
+        Whether a request may be sent again after an unknown outcome.
     """
 
     name: str = attrs.field(validator=checks.name)
@@ -186,29 +188,29 @@
 
 @attrs.frozen
 class Service:
-    """One service of a team, ready to route to.
+    """One service of a team, with the template's parameters filled in.
 
     Parameters
     ----------
     name : str
     path_prefix : str
-        Caller paths that lead here.
-    divided_by : Divisor
+        Path prefix of the requests for this service.
+    divided_by : KeySource
     n_slices : int
-        Slices of a divided service.
+        Number of slices of a divided service.
     slots_per_server, connections_per_server, cold_slots_per_server : int
-        What a backend server bears, warm and in a cold start.
+        Capacity of a backend server; the last one applies in a cold start.
     checks_grants : bool
         Whether the backend servers refuse a superseded steward or token.
     grant_ms, renewal_ms : int
-        Length of a grant, and how often it is renewed.
+        Duration of a grant, and interval between its renewals.
     classes : tuple of CallerClass
-        First match wins.
+        The first match applies.
     """
 
     name: str = attrs.field(validator=checks.name)
     path_prefix: str = attrs.field(validator=checks.path_prefix)
-    divided_by: Divisor = Divisor()
+    divided_by: KeySource = KeySource()
     n_slices: int = attrs.field(default=64, validator=checks.between(1, MAX_SLICES))
     slots_per_server: int = attrs.field(default=4, validator=checks.between(1, 10_000))
     connections_per_server: int = attrs.field(
@@ -224,7 +226,7 @@
 
     @property
     def divided(self):
-        """Whether keys of this service have owners."""
+        """Whether the keys of this service have owners."""
         return self.divided_by.source != "none"
 
 
@@ -236,9 +238,9 @@
     ----------
     type : {"string", "integer", "number", "boolean"}
     default : object, optional
-        Of that type.
+        A value of that type.
     required : bool
-        Whether a team has to give it although there is a default.
+        Whether a team must give it even though there is a default.
     description : str
     """
 
@@ -253,7 +255,7 @@
 
 @attrs.frozen
 class Template:
-    """Services with ``${parameter}`` places in them.
+    """Services with ``${parameter}`` placeholders.
 
     Parameters
     ----------
@@ -261,7 +263,7 @@
     services : list of dict
         Fields of :class:`Service`, any scalar of which may be ``${name}``.
     request_id : str
-        Of the write, so that a lost answer can be recognised.
+        Of the write; identifies it if the response is lost.
     """
 
     services: list[dict]
@@ -271,7 +273,7 @@
 
 @attrs.frozen
 class Team:
-    """What operators declare: a template and values for its parameters.
+    """An operator's declaration of a team: a template and values for its parameters.
 
     Parameters
     ----------
@@ -279,14 +281,14 @@
     parameters : dict
         Values by parameter name.
     domain_weights : dict of str to float
-        Share of keys a failure domain's servers get, against the others; 1 if not
-        listed, 0 for none.
+        Relative share of the keys for the servers of a failure domain; 1 if not listed,
+        0 for none.
     on_silence : {"hold"}
-        What becomes of the keys of a failure domain that nobody hears from: they
-        stay with their owners until these are proved to have let go.
+        What happens to the keys of a failure domain that does not answer: they stay
+        with their owners until it is proved that these have released them.
     leaving : bool
-        Whether the team is being deleted: it takes no requests, and goes once the
-        owners of its keys are proved to have let go.
+        Whether the team is being deleted: it takes no requests, and is deleted once it
+        is proved that the owners have released its keys.
     request_id : str
         Of the write.
     """
@@ -303,13 +305,13 @@
 
 @attrs.frozen
 class FailureDomain:
-    """An operator's order about a failure domain.
+    """An operator's order for a failure domain.
 
     Parameters
     ----------
     state : {"in", "out", "lost"}
-        ``lost`` is an operator's word that no process runs there any more: it
-        counts as proof that its servers own nothing.
+        ``lost`` declares that no process runs there any more, which counts as proof
+        that its servers own nothing.
     changed_by : str
     request_id : str
         Of the write.
@@ -328,9 +330,9 @@
     ----------
     state : {"owned", "releasing", "unowned"}
     server : str
-        The owner; while releasing the server that may still act as one.
+        The owner; while releasing, the server that may still act as owner.
     token : int
-        Grows with every change of owner.
+        Increases with every change of owner.
     """
 
     state: str = UNOWNED
@@ -340,7 +342,7 @@
 
 @attrs.frozen
 class Assignment:
-    """Who owns the slices of one service.
+    """Owners of the slices of one service.
 
     Parameters
     ----------
@@ -349,10 +351,10 @@
         Indexed by slice.
     stewards : dict of str to int
         By server, the term of the steward whose proofs of release count. A steward
-        grants nothing before it has seen its own term here: so it has seen every
-        change of owner that was made without asking it.
+        sends no grants until it has seen its own term here: by then it has seen every
+        change of owner that was made without its proof.
     request_id : str
-        Of the write, so that a lost answer can be recognised.
+        Of the write; identifies it if the response is lost.
     """
 
     team: str
@@ -362,7 +364,9 @@
     request_id: str = ""
 
     def to_spec(self):
-        """Return the platform's form, with neighbours joined into ranges."""
+        """Return the stored form, in which neighbouring equal slices are joined into
+        ranges.
+        """
         ranges = []
         for index, item in enumerate(self.slices):
             if ranges and ranges[-1][2:] == [item.state, item.server, item.token]:
@@ -379,7 +383,7 @@
 
     @classmethod
     def from_spec(cls, spec):
-        """Read the platform's form.
+        """Return the assignment for its stored form.
 
         Parameters
         ----------
@@ -400,29 +404,29 @@
 
 @attrs.frozen
 class Term:
-    """A role that one daemon holds at a time.
+    """A role that at most one daemon holds at a time.
 
     Parameters
     ----------
     number : int
         Fencing token of the role.
     holder : str
-        Identity of the process that holds it; empty if given up.
+        Identity of the process that holds it; empty if it was given up.
     successor : str
         Identity of the only process that may take over from a silent holder.
     request_id : str
         Of the write.
     lasting : bool
-        Whether the holder, once its right has ended, may go on renewing the server
-        process that it knows. Time then proves nothing about it.
+        Whether the holder may keep renewing grants of the server process that it knows
+        after its right has ended. Waiting then proves nothing about the holder.
     unbounded : bool
         Whether an earlier holder may still be doing so.
     settled : bool
-        Whether no earlier holder could be acting when this one was written.
+        Whether the rights of all earlier holders had ended when this term was written.
     right_ms, grant_ms : float
-        Longest right, and longest grant, that this holder uses or that an earlier one
-        used and that may still run. Settings change, and whoever takes over has to
-        wait by those that were in force then.
+        Longest right and longest grant that this holder uses, or that an earlier one
+        used and that may still be valid. Settings may change, and a new holder has to
+        wait for the durations that were in force then.
     """
 
     number: int
@@ -437,6 +441,6 @@
 
     @classmethod
     def from_spec(cls, spec):
-        """Read the platform's form; fields of a newer version are passed over."""
+        """Return the term for its stored form; unknown fields are ignored."""
         known = {field.name for field in attrs.fields(cls)}
         return cls(**{name: item for name, item in spec.items() if name in known})
