--- a/src/tarragonramp/changes.py
+++ b/src/tarragonramp/changes.py
@@ -1,4 +1,4 @@
-"""Changes that the operators' command asks a daemon for."""
+"""Changes that the operators' command requests from a daemon."""
 
 import sys
 
@@ -25,16 +25,16 @@
 
 
 def kind_named(text):
-    """Return the kind that an operator means, whatever the case."""
+    """Return the kind for an operator's input, ignoring case."""
     for kind in VIEWED_KINDS:
         if kind.lower() == text.lower():
             return kind
     known = ", ".join(VIEWED_KINDS)
-    raise CommandError(EXIT_INVALID, f"no kind {text!r}; known are {known}")
+    raise CommandError(EXIT_INVALID, f"unknown kind {text!r}; known are {known}")
 
 
 def read_all(files):
-    """Read declarations of several files.
+    """Read the declarations of several files.
 
     Raises
     ------
@@ -56,7 +56,7 @@
 
 
 def check_at_daemon(client, declarations):
-    """Let a daemon check all of them against what is declared already."""
+    """Let a daemon check declarations against the objects that exist already."""
     documents = [
         {"kind": item.kind, "name": item.name, "spec": item.spec}
         for item in declarations
@@ -72,23 +72,23 @@
 
 
 def counted(faults):
-    """Return the text of faults, and how many there are."""
+    """Return faults as text, with their number."""
     lines = "\n  ".join(str(fault) for fault in faults)
-    return f"{len(faults)} faults, nothing was changed\n  {lines}"
+    return f"{len(faults)} errors, nothing was changed\n  {lines}"
 
 
 def apply_all(client, declarations):
-    """Write checked declarations, those that others need first.
+    """Write checked declarations, dependencies first.
 
     Returns
     -------
     rows : list of dict
-        What became of each.
+        The result for each declaration.
 
     Raises
     ------
     CommandError
-        Naming what was applied and what was not.
+        Names what was applied and what was not.
     """
     ordered = sorted(declarations, key=lambda item: APPLY_ORDER.index(item.kind))
     rows = []
@@ -111,8 +111,8 @@
     wanted = version if declaration.version is None else declaration.version
     if wanted != version:
         message = f"the file is for version {wanted}, platform holds {version}"
-        raise _conflict(message, declaration, current)
-    if current and _is_same(current["spec"], declaration.spec):
+        raise _conflict_error(message, declaration, current)
+    if current and _is_unchanged(current["spec"], declaration.spec):
         return {"object": declaration.label, "result": "unchanged", "version": version}
     try:
         stored = client.put(
@@ -121,7 +121,9 @@
     except CommandError as error:
         if error.exit_code != EXIT_CONFLICT:
             raise
-        raise _conflict(error, declaration, error.payload.get("current")) from error
+        raise _conflict_error(
+            error, declaration, error.payload.get("current")
+        ) from error
     for warning in stored.get("warnings", []):
         print(f"warning: clashes with another change: {warning}", file=sys.stderr)
     return {
@@ -131,24 +133,24 @@
     }
 
 
-def _conflict(message, declaration, current):
-    """Return the error of a lost race, with both versions."""
+def _conflict_error(message, declaration, current):
+    """Return the error of a lost race, with a diff of both versions."""
     spec = declared_spec(current["spec"]) if current else {}
     text = difference(spec, declaration.spec, declaration.label)
     return CommandError(EXIT_CONFLICT, f"{message}\n{text}")
 
 
-def _is_same(stored_spec, spec):
+def _is_unchanged(stored_spec, spec):
     return not stored_spec.get("leaving") and declared_spec(stored_spec) == spec
 
 
 def declared_spec(spec):
-    """Return a stored spec without what the system adds to it."""
+    """Return a stored spec without the fields that the system adds."""
     return {key: value for key, value in spec.items() if key not in OWN_FIELDS}
 
 
 def shown(stored):
-    """Return an object as an operator would declare it, with its version."""
+    """Return an object in the form of a declaration, with its version."""
     spec = stored["spec"]
     if stored["kind"] in DECLARED_KINDS:
         spec = declared_spec(spec)
@@ -161,7 +163,7 @@
 
 
 def order_domain(client, failure_domain, state, **query):
-    """Give an order about a failure domain; return what it was and is."""
+    """Set the state of a failure domain; return the old and new state."""
     current = client.find(KIND_FAILURE_DOMAIN, failure_domain)
     version = current["version"] if current else 0
     before = current["spec"].get("state", "in") if current else "in"
--- a/src/tarragonramp/declarations.py
+++ b/src/tarragonramp/declarations.py
@@ -1,4 +1,4 @@
-"""Checks of what operators declare, before any of it is written."""
+"""Validation of operators' declarations before any of them is written."""
 
 import attrs
 from returns.pipeline import is_successful
@@ -34,9 +34,9 @@
     KIND_FAILURE_DOMAIN: FailureDomain,
 }
 OWN_FIELDS = ("request_id", "leaving", "changed_by")
-"""Fields of a stored spec that the system writes, never an operator's file."""
+"""Fields of a stored spec that only the system may write."""
 
-DELETE_FIRST = "delete the team, wait until it is gone, and declare it anew"
+RECREATE_TEAM = "delete the team, wait until it is gone, and declare it again"
 
 
 @attrs.frozen
@@ -48,9 +48,9 @@
     kind, name : str
     spec : dict
     version : int or None
-        The version that the writer has seen; None if it does not matter.
+        The version that the object must still have; None for any.
     document : Document or None
-        Where it was read.
+        The document that it was read from.
     """
 
     kind: str
@@ -61,11 +61,11 @@
 
     @property
     def label(self):
-        """``Kind/name``, for people."""
+        """``Kind/name``, for messages."""
         return f"{self.kind}/{self.name}"
 
     def locate(self, fault):
-        """Return a fault with file and line, or with the object's name."""
+        """Return a fault as text with file and line, or with the object's name."""
         if self.document is None:
             return f"{self.label}: {fault}"
         return self.document.locate(fault)
@@ -73,22 +73,22 @@
 
 @attrs.frozen
 class Declared:
-    """What is declared already, to check new declarations against.
+    """Existing objects that new declarations are checked against.
 
     Parameters
     ----------
     templates : dict of str to Template
     teams : dict of str to Team
-    assigned : dict of (str, str) to int
-        Number of slices by team and service, for assignments that exist.
+    assigned_slices : dict of (str, str) to int
+        Number of slices of the existing assignments, by team and service.
     """
 
     templates: dict = attrs.Factory(dict)
     teams: dict = attrs.Factory(dict)
-    assigned: dict = attrs.Factory(dict)
+    assigned_slices: dict = attrs.Factory(dict)
 
     def services(self, team_name):
-        """Return the services of a team by name; none if it cannot be expanded."""
+        """Return the services of a team by name; empty if it cannot be expanded."""
         team = self.teams.get(team_name)
         template = team and self.templates.get(team.template)
         if template is None:
@@ -107,7 +107,7 @@
 
 
 def declarations_of(documents) -> Result:
-    """Make declarations of documents.
+    """Return the declarations in documents.
 
     Parameters
     ----------
@@ -119,7 +119,7 @@
     """
     declarations, faults = [], []
     for document in documents:
-        found = _outer_faults(document.data)
+        found = _envelope_faults(document.data)
         faults.extend(document.locate(fault) for fault in found)
         if not found:
             declarations.append(Declaration(**document.data, document=document))
@@ -127,7 +127,7 @@
 
 
 def check_declarations(declarations, declared):
-    """Find every fault of declarations that are to be applied together.
+    """Find all faults of declarations that are to be applied together.
 
     Parameters
     ----------
@@ -137,33 +137,35 @@
     Returns
     -------
     faults : list of (int, Fault)
-        With the index of the declaration; empty if all can be applied.
+        Each with the index of its declaration; empty if all can be applied.
     """
     faults, items = [], {}
     for index, declaration in enumerate(declarations):
         key = declaration.kind, declaration.name
         if key in items:
-            faults.append((index, Fault("name", f"{declaration.label} twice")))
-        result = _structured(declaration)
+            faults.append(
+                (index, Fault("name", f"{declaration.label} declared more than once"))
+            )
+        result = _parse(declaration)
         if is_successful(result):
             items[key] = index, result.unwrap()
         else:
             faults.extend((index, fault) for fault in result.failure())
-    after = _after(declared, items)
+    after = _state_after(declared, items)
     for index, item in items.values():
         if isinstance(item, Template):
             found = template_faults(item)
-            faults.extend((index, _below_spec(fault)) for fault in found)
+            faults.extend((index, _under_spec(fault)) for fault in found)
     if faults:
         return faults
-    for name in _touched_teams(items, after):
-        index = _culprit(name, items, after)
+    for name in _affected_teams(items, after):
+        index = _faulty_declaration(name, items, after)
         faults.extend((index, f) for f in _team_faults(name, items, declared, after))
     return faults
 
 
 def check_deletion(kind, name, declared):
-    """Find what stands against deleting an object.
+    """Find the reasons why an object cannot be deleted.
 
     Returns
     -------
@@ -179,7 +181,7 @@
     return [Fault("", f"in use by {', '.join(users)}: delete these teams first")]
 
 
-def _outer_faults(data):
+def _envelope_faults(data):
     if not isinstance(data, dict):
         return [Fault("", "expected a mapping with kind, name and spec")]
     faults = [
@@ -204,7 +206,7 @@
     return f"{kind!r} cannot be declared; use one of {known}"
 
 
-def _structured(declaration) -> Result:
+def _parse(declaration) -> Result:
     faults = []
     try:
         checks.name(None, None, declaration.name)
@@ -222,23 +224,23 @@
     return Failure(faults) if faults else result
 
 
-def _below_spec(fault):
+def _under_spec(fault):
     return Fault(f"spec.{fault.path}" if fault.path else "spec", fault.message)
 
 
-def _after(declared, items):
-    """Return what would be declared with all the items applied."""
+def _state_after(declared, items):
+    """Return the declared objects as they would be with all items applied."""
     templates, teams = dict(declared.templates), dict(declared.teams)
     for (kind, name), (_, item) in items.items():
         if kind == KIND_TEMPLATE:
             templates[name] = item
         if kind == KIND_TEAM:
             teams[name] = item
-    return Declared(templates, teams, declared.assigned)
+    return Declared(templates, teams, declared.assigned_slices)
 
 
-def _touched_teams(items, after):
-    """Return teams that are declared, or whose template is."""
+def _affected_teams(items, after):
+    """Return the teams that are declared or whose template is declared."""
     templates = {name for kind, name in items if kind == KIND_TEMPLATE}
     return sorted(
         name
@@ -247,7 +249,7 @@
     )
 
 
-def _culprit(team_name, items, after):
+def _faulty_declaration(team_name, items, after):
     key = KIND_TEAM, team_name
     if key not in items:
         key = KIND_TEMPLATE, after.teams[team_name].template
@@ -261,25 +263,25 @@
     if template is None:
         return [Fault("spec.template", f"no template named {team.template!r}")]
     if team.domain_weights and not any(team.domain_weights.values()):
-        return [Fault("spec.domain_weights", "at least one has to be above 0")]
+        return [Fault("spec.domain_weights", "at least one weight must be above 0")]
     expanded = expand(template, team)
     if not is_successful(expanded):
         error: TeamError = expanded.failure()
         if declared_here:
-            return [_below_spec(fault) for fault in error.faults]
+            return [_under_spec(fault) for fault in error.faults]
         return [Fault("spec", f"team {name}: {fault}") for fault in error.faults]
     services = {service.name: service for service in expanded.unwrap()}
     faults = _prefix_faults(name, services, after)
-    faults += _rehash_faults(name, services, before)
-    return faults if declared_here else [_of_team(name, f) for f in faults]
+    faults += _unsafe_change_faults(name, services, before)
+    return faults if declared_here else [_with_team(name, f) for f in faults]
 
 
-def _of_team(name, fault):
+def _with_team(name, fault):
     return Fault(fault.path, f"team {name}: {fault.message}")
 
 
 def _prefix_faults(team_name, services, after):
-    """Find paths that two teams claim: callers of one would reach the other."""
+    """Find paths that two teams claim: requests for one would reach the other."""
     faults = []
     taken = {
         service.path_prefix.rstrip("/"): other
@@ -295,38 +297,40 @@
     return faults
 
 
-def _rehash_faults(team_name, services, before):
-    """Find changes that would lead keys to other slices, or forget a grant.
+def _unsafe_change_faults(team_name, services, before):
+    """Find changes that would map keys to other slices or shorten a grant.
 
-    Daemons take in a change one after the other. With two numbers of slices in
-    force, two daemons send one key to two servers, and both are rightful owners of
-    the slice they are asked for. With two lengths of a grant, a new steward waits
-    for a shorter one than its predecessor gave.
+    Daemons apply a change one after the other. With two numbers of slices in force, two
+    daemons would send the same key to two servers, each the rightful owner of its
+    slice. With two durations of a grant, a new steward would wait for a shorter one
+    than its predecessor sent.
     """
     faults = []
     for name, old in before.services(team_name).items():
         new = services.get(name)
         if not old.divided:
             if new is not None and new.divided:
-                faults.append(_refusal(name, "cannot become divided", DELETE_FIRST))
+                faults.append(
+                    _unsafe_change(name, "cannot become divided", RECREATE_TEAM)
+                )
             continue
         if new is None:
-            faults.append(_refusal(name, "its keys have owners", DELETE_FIRST))
+            faults.append(_unsafe_change(name, "its keys have owners", RECREATE_TEAM))
             continue
         for field in ("n_slices", "divided_by", "grant_ms"):
             if getattr(new, field) != getattr(old, field):
                 change = f"{field} cannot change while its keys have owners"
-                faults.append(_refusal(name, change, DELETE_FIRST))
+                faults.append(_unsafe_change(name, change, RECREATE_TEAM))
     for name, service in services.items():
-        n_slices = before.assigned.get((team_name, name))
+        n_slices = before.assigned_slices.get((team_name, name))
         if not service.divided or n_slices in (None, service.n_slices):
             continue
         message = f"keys were assigned in {n_slices} slices"
-        fix = f"say n_slices: {n_slices}, or give the service another name"
+        fix = f"set n_slices to {n_slices} or rename the service"
         if name not in before.services(team_name):
-            faults.append(_refusal(name, message, fix))
+            faults.append(_unsafe_change(name, message, fix))
     return faults
 
 
-def _refusal(service_name, message, fix):
+def _unsafe_change(service_name, message, fix):
     return Fault("spec", f"service {service_name}: {message}; {fix}")
--- a/tests/test_declarations.py
+++ b/tests/test_declarations.py
@@ -1,4 +1,4 @@
-"""Declarations: what operators may ask for, and what would harm keys."""
+"""Validation of declarations, including changes that are unsafe for keys."""
 
 import copy
 import unittest
@@ -34,45 +34,45 @@
 
 
 def template(**changes):
-    """Return the template with fields of its service changed."""
+    """Return the template with some fields of its service changed."""
     spec = copy.deepcopy(TEMPLATE)
     spec["services"][0].update(changes)
     return Declaration("Template", "desk", spec)
 
 
 def team(name="valley", **parameters):
-    """Return a team of that template."""
+    """Return a team that uses the template."""
     return Declaration("Team", name, {"template": "desk", "parameters": parameters})
 
 
-def declared(*declarations, assigned=()):
-    """Return what is declared already."""
+def declared(*declarations, assigned_slices=()):
+    """Return existing objects."""
     found = {"Template": {}, "Team": {}}
     for item in declarations:
         wanted = Template if item.kind == "Template" else Team
         found[item.kind][item.name] = structure(item.spec, wanted).unwrap()
-    return Declared(found["Template"], found["Team"], dict(assigned))
+    return Declared(found["Template"], found["Team"], dict(assigned_slices))
 
 
 def faults_of(declarations, before=None):
-    """Return faults as texts."""
+    """Return the faults as texts."""
     before = before or Declared()
     return [str(fault) for _, fault in check_declarations(declarations, before)]
 
 
 class DeclarationsTest(unittest.TestCase):
-    """Checks of templates and teams."""
+    """Validation of templates and teams."""
 
     def assert_one(self, expected, faults):
-        """Check that there is one fault, and its text."""
+        """Check that there is exactly one fault and that it contains a text."""
         self.assertEqual(len(faults), 1, faults)
         self.assertIn(expected, faults[0])
 
-    def test_both_users_files_are_taken(self):
+    def test_demo_files_are_valid(self):
         for file in ("demo/fraser-valley.yaml", "demo/cooperative.yaml"):
             self.assertEqual(faults_of(read_declarations(file).unwrap()), [])
 
-    def test_documents_without_their_parts_are_refused_with_lines(self):
+    def test_incomplete_documents_are_refused_with_line_numbers(self):
         text = "kind: Team\nspec: 3\n---\n- a\n---\nkind: Pod\nname: 3\nspec: {}\n"
         documents = read_documents(text, "f").unwrap()
         faults = declarations_of(documents).failure().faults
@@ -82,7 +82,7 @@
         self.assertIn("f:6: kind: 'Pod' cannot be declared", faults[3])
         self.assertEqual(faults[4], "f:7: name: 3: expected text")
 
-    def test_what_a_service_may_not_say(self):
+    def test_invalid_fields_of_a_service_are_refused(self):
         divisor = {"source": "header", "name": "X-Record"}
         cases = {
             "spec.services[0].n_slices": {"n_slices": 0},
@@ -133,20 +133,20 @@
         heavy.spec["domain_weights"] = {"a": 0, "b": 0}
         self.assert_one("at least one", faults_of([heavy], before))
 
-    def test_fields_of_the_system_cannot_be_declared(self):
+    def test_system_fields_cannot_be_declared(self):
         own = team()
         own.spec["leaving"] = True
         self.assert_one("leave it out", faults_of([own], declared(template())))
 
-    def test_a_template_and_its_team_may_come_together(self):
+    def test_template_and_team_can_be_applied_together(self):
         self.assertEqual(faults_of([team(), template()]), [])
         self.assert_one("no template named", faults_of([team()]))
-        self.assert_one("twice", faults_of([template(), template()]))
+        self.assert_one("declared more than once", faults_of([template(), template()]))
 
-    def test_two_teams_cannot_claim_one_path(self):
-        """A second team's file copies the first one's path.
+    def test_two_teams_cannot_have_the_same_path(self):
+        """Guards against requests that reach another team's servers.
 
-        Callers of the first team would reach the second team's servers.
+        The declaration of a second team has the path of the first one.
         """
         before = declared(template(), team())
         self.assert_one("claimed by team valley", faults_of([team("coop")], before))
@@ -156,11 +156,12 @@
         both = [team("a1"), team("b1")]
         self.assertEqual(len(faults_of(both, declared(template()))), 2)
 
-    def test_a_change_that_rehashes_keys_is_refused(self):
-        """The number of slices of a service in use is changed.
+    def test_change_that_remaps_keys_is_refused(self):
+        """Guards against two owners of one key.
 
-        Until the last daemon has the change, two daemons send one key to two
-        servers, each the owner of another slice: a claim could run on both.
+        The number of slices of a service in use is changed. Until the last daemon has
+        applied the change, two daemons would send the same key to two servers, each the
+        owner of its slice, and a claim could run on both.
         """
         before = declared(template(), team())
         self.assert_one("n_slices cannot", faults_of([team(slices=128)], before))
@@ -173,17 +174,17 @@
         self.assert_one("its keys have owners", faults_of([renamed], before))
         self.assertEqual(faults_of([template(slots_per_server=9)], before), [])
 
-    def test_a_shared_service_cannot_become_divided(self):
+    def test_shared_service_cannot_become_divided(self):
         shared = template(divided_by={"source": "none"})
         before = declared(shared, team())
         self.assert_one("cannot become divided", faults_of([template()], before))
 
-    def test_a_team_declared_anew_keeps_the_slices_it_had(self):
-        before = declared(template(), assigned={("valley", "records"): 64})
+    def test_recreated_team_keeps_its_number_of_slices(self):
+        before = declared(template(), assigned_slices={("valley", "records"): 64})
         self.assertEqual(faults_of([team()], before), [])
         self.assert_one("in 64 slices", faults_of([team(slices=32)], before))
 
-    def test_a_template_in_use_cannot_be_deleted(self):
+    def test_template_in_use_cannot_be_deleted(self):
         before = declared(template(), team())
         found = check_deletion("Template", "desk", before)
         self.assertIn("in use by valley", str(found[0]))
@@ -191,7 +192,7 @@
         self.assertEqual(check_deletion("Team", "valley", before), [])
         self.assertTrue(check_deletion("Assignment", "valley.records", before))
 
-    def test_a_change_of_template_is_checked_with_every_team(self):
+    def test_change_of_template_is_checked_with_every_team(self):
         before = declared(template(), team(slices=64))
         smaller = template()
         del smaller.spec["parameters"]["slices"]
@@ -201,9 +202,9 @@
 
 
 class FilesTest(unittest.TestCase):
-    """Places of faults in files."""
+    """Locations of faults in files."""
 
-    def test_a_fault_is_located_by_line(self):
+    def test_fault_is_located_by_line(self):
         text = "kind: Template\nname: t\nspec:\n  services:\n  - name: a\n    x: 1\n"
         documents = read_documents(text, "f").unwrap()
         declarations = declarations_of(documents).unwrap()
@@ -212,5 +213,5 @@
         self.assertIn("f:6: spec.services[0].x: no such field", places[0])
         self.assertIn("f:5: spec.services[0].path_prefix: missing", places[1])
 
-    def test_a_file_that_cannot_be_read_is_a_failure(self):
+    def test_unreadable_file_is_a_failure(self):
         self.assertFalse(is_successful(read_declarations("/nonexistent.yaml")))
