--- a/src/tarragonramp/fleet_view.py
+++ b/src/tarragonramp/fleet_view.py
@@ -66,9 +66,7 @@
         return self.routes.manifest if self.routes else None
 
     def service(self, name):
-        """Return the FleetService of a name, or one with default values if it is
-        unknown.
-        """
+        """Return the FleetService of a name; one with defaults if it is unknown."""
         found = self.manifest.services.get(name) if self.manifest else None
         return found or FleetService(name)
 
--- a/src/tarragonramp/gates.py
+++ b/src/tarragonramp/gates.py
@@ -77,7 +77,7 @@
 
     since_ms: float
     longest_ms: float
-    running_ms: float | None = None
+    probed_ms: float | None = None
 
 
 @attrs.define
@@ -224,9 +224,9 @@
         kept = {
             i: d for i, d in self._unproved.items() if d.since_ms > self._last_probe_ms
         }
-        for doubt in (*kept.values(), self._earlier):
-            if doubt is not None:
-                doubt.running_ms = None
+        for unproved in (*kept.values(), self._earlier):
+            if unproved is not None:
+                unproved.probed_ms = None
         self._unproved = kept
 
     def moved(self, now_ms):
@@ -254,15 +254,15 @@
         return "" if self._in_flight[slice_index] else "drained"
 
 
-def _is_proved(doubt, sent_ms, arrived_ms):
-    if doubt is None:
+def _is_proved(unproved, sent_ms, arrived_ms):
+    if unproved is None:
         return False
-    if doubt.running_ms is None:
-        if sent_ms >= doubt.since_ms:
-            doubt.running_ms = arrived_ms
+    if unproved.probed_ms is None:
+        if sent_ms >= unproved.since_ms:
+            unproved.probed_ms = arrived_ms
         return False
-    longest_ms = doubt.longest_ms / (1.0 - CLOCK_RATE_MARGIN)
-    return sent_ms >= doubt.running_ms + longest_ms
+    longest_ms = unproved.longest_ms / (1.0 - CLOCK_RATE_MARGIN)
+    return sent_ms >= unproved.probed_ms + longest_ms
 
 
 RAMP_STEP_MS = 500.0
@@ -320,9 +320,7 @@
         self._warm_since_ms = None
 
     def shed(self, now_ms):
-        """Record that the server refused a request and so can take less than it
-        reported.
-        """
+        """Record that the server refused a request, being less warm than reported."""
         self.vouched = False
         if self._warm_since_ms is not None:
             self._warm_since_ms = now_ms
--- a/src/tarragonramp/leading.py
+++ b/src/tarragonramp/leading.py
@@ -132,8 +132,7 @@
 
     @classmethod
     def from_message(cls, raw, now_ms):
-        """Return the state that an earlier leader, which sends no more grants,
-        reported.
+        """Return the state reported by an earlier leader that has stopped.
 
         Raises
         ------
@@ -181,9 +180,7 @@
             self.record, self.version, self._changed_ms = record, version, now_ms
 
     def confirmed(self, record, version, sent_ms):
-        """Record that a write of this daemon's record, sent at ``sent_ms``, was
-        confirmed.
-        """
+        """Record the confirmation of a write of this daemon's record."""
         self.record, self.version, self._changed_ms = record, version, sent_ms
         self._confirmed_ms = sent_ms
         self._has_given_up = False
@@ -206,9 +203,7 @@
         return self.is_named and now_ms < self._confirmed_ms + self.timing.right_ms
 
     def may_move(self, now_ms):
-        """Tell whether keys may be moved now: only while no other daemon can have taken
-        over.
-        """
+        """Tell whether keys may be moved now: no other daemon can have taken over."""
         return self.is_named and now_ms < self._confirmed_ms + self.timing.lease_ms / 2
 
     def may_take_over(self, now_ms):
--- a/src/tarragonramp/manifest.py
+++ b/src/tarragonramp/manifest.py
@@ -1,6 +1,4 @@
-"""Configuration that operators declared: routes by host and prefix, services and
-limits.
-"""
+"""Configuration declared by operators: routes, services and caller limits."""
 
 import attrs
 
--- a/src/tarragonramp/model.py
+++ b/src/tarragonramp/model.py
@@ -364,9 +364,7 @@
     request_id: str = ""
 
     def to_spec(self):
-        """Return the stored form, in which neighbouring equal slices are joined into
-        ranges.
-        """
+        """Return the stored form, with neighbouring equal slices joined into ranges."""
         ranges = []
         for index, item in enumerate(self.slices):
             if ranges and ranges[-1][2:] == [item.state, item.server, item.token]:
--- a/src/tarragonramp/passes.py
+++ b/src/tarragonramp/passes.py
@@ -26,9 +26,7 @@
         self._permits[server] = (address, now_ms)
 
     def take(self, server):
-        """Withdraw a permit after a failed exchange, a shed request or a report of a
-        cold start.
-        """
+        """Withdraw a permit after a failed exchange or a sign of a cold start."""
         self._permits.pop(server, None)
 
     def known(self, server):
--- a/src/tarragonramp/roster.py
+++ b/src/tarragonramp/roster.py
@@ -30,9 +30,7 @@
         return cls(ordered, xxhash.xxh64_hexdigest(" ".join(ordered).encode()))
 
     def pack(self, counts):
-        """Return counts by name as JSON-compatible data; counts of unlisted names are
-        dropped.
-        """
+        """Return counts as JSON-compatible data, without those of unlisted names."""
         return [self.digest, [counts.get(name, 0) for name in self.names]]
 
     def unpack(self, message):
--- a/src/tarragonramp/terms.py
+++ b/src/tarragonramp/terms.py
@@ -251,8 +251,7 @@
     right_ms: float
 
     def old_right_ends_ms(self, write_answered_ms):
-        """Return when the old holder's right has ended for certain, on this daemon's
-        clock.
+        """Return when the old holder's right has ended, on this daemon's clock.
 
         Parameters
         ----------
@@ -297,8 +296,7 @@
     _given_up: int = 0
 
     def revoked_for(self, identity):
-        """Return the highest term number for which a daemon is no longer sent
-        confirmations.
+        """Return the highest term for which a daemon is sent no confirmations.
 
         A number rather than a flag: a daemon that lost a term to this one and holds it
         again later needs confirmations again.
--- a/src/tarragonramp/view.py
+++ b/src/tarragonramp/view.py
@@ -243,9 +243,7 @@
         return order is None or order.state == IN
 
     def domain_lost(self, failure_domain):
-        """Tell whether an operator has declared that no process runs in a failure
-        domain.
-        """
+        """Tell whether an operator has declared a failure domain lost."""
         order = self.get(KIND_FAILURE_DOMAIN, failure_domain)
         return order is not None and order.state == LOST
 
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -96,9 +96,7 @@
         self.assertEqual(uncertain.released(3), "drained")
 
     def test_request_may_have_reached_the_new_process(self):
-        """A server restarts unnoticed, is sent a request and is paused before it
-        responds.
-        """
+        """A server restarts unnoticed and pauses after it was sent a request."""
         uncertain = gate()
         uncertain.admit(3, 1000.0, NO_LIMIT, NO_LIMIT)
         uncertain.unanswered(3, 1800.0)
@@ -120,7 +118,7 @@
         self.assertEqual(new.released(0), "drained")
 
 
-class WarmthTest(unittest.TestCase):
+class WarmupStateTest(unittest.TestCase):
     """Load of a server after its start, with 1 cold slot and 4 slots."""
 
     def widths(self, warmth, *times_ms):
@@ -153,8 +151,7 @@
             self.assertEqual(warmth.width(5000.0), 1)
 
     def test_server_known_to_be_warm_stays_warm_for_its_new_steward(self):
-        """Guards against treating warm servers as cold after a restart of their
-        steward.
+        """Guards against treating warm servers as cold after a change of steward.
 
         A daemon restarts and its neighbour becomes steward of warm servers. The
         restarted daemon, which has to send through the steward, would refuse callers
--- a/tests/test_passes.py
+++ b/tests/test_passes.py
@@ -5,7 +5,7 @@
 from tarragonramp.passes import Passes
 
 
-class PassesTest(unittest.TestCase):
+class DirectSendPermitsTest(unittest.TestCase):
     """A permit is valid until there is a sign of a restart."""
 
     def holds(self, passes, at_ms, address="a:1", connected=True):
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -34,11 +34,11 @@
         self.assertFalse(term.may_act(800.0))
 
     def test_both_confirmations_are_needed_during_a_change_of_successor(self):
-        """Guards against relying on one successor while a change of successor is in
-        doubt.
+        """Guards against relying on one of two possible successors.
 
-        The platform's response is lost, so it may name either of the two and either may
-        take over: the old successor's confirmation alone must not extend the right.
+        The platform's response to a change of successor is lost, so it may name either
+        of the two and either may take over: the old successor's confirmation alone must
+        not extend the right.
         """
         term = held()
         term.begin_update("a#1", "c#1", "request-1", now_ms=0.0)
