--- a/src/tarragonramp/adapters/__init__.py
+++ b/src/tarragonramp/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Libraries behind the ports."""
+"""Adapters: implementations of the ports on top of third-party libraries."""
--- a/src/tarragonramp/adapters/backends.py
+++ b/src/tarragonramp/adapters/backends.py
@@ -1,4 +1,4 @@
-"""Control exchanges with backend servers over HTTP."""
+"""Control requests to backend servers over HTTP."""
 
 import json
 
@@ -17,55 +17,62 @@
 
 @attrs.define(eq=False, repr=False)
 class HttpBackends:
-    """Grants and probes.
+    """Sends grants and probes to backend servers.
 
     Parameters
     ----------
     pools : HttpPools
-        Kept apart from the pools of callers' requests.
+        Connections for control traffic only, separate from those for callers'
+        requests.
     """
 
     pools: HttpPools
 
     def probe(self, address, timeout_ms) -> Result:
-        """Read a server's clock, boot id and latest grant."""
+        """Read a server's clock, boot id and the latest grant it accepted."""
         pool = self.pools.at(address)
-        return pool.exchange("GET", PROBE_TARGET, (), b"", timeout_ms).bind(_answer)
+        return pool.exchange("GET", PROBE_TARGET, (), b"", timeout_ms).bind(
+            _parse_answer
+        )
 
     def grant(self, address, grant, timeout_ms) -> Result:
-        """Give a server its slices until a reading of its own clock."""
+        """Grant a server its slices until a given reading of the server's clock."""
         body = json.dumps(
             {
                 "term": grant.term,
                 "sequence": grant.sequence,
                 "boot_id": grant.boot_id,
-                "tokens": _ranges(grant.tokens),
+                "tokens": _token_ranges(grant.tokens),
                 "until_ms": grant.until_ms,
             }
         ).encode()
         pool = self.pools.at(address)
-        return pool.exchange("POST", GRANT_TARGET, (), body, timeout_ms).bind(_answer)
+        return pool.exchange("POST", GRANT_TARGET, (), body, timeout_ms).bind(
+            _parse_answer
+        )
 
 
-def _answer(answer):
+def _parse_answer(response):
     try:
-        raw = json.loads(answer.body)
+        raw = json.loads(response.body)
         return Success(
             ServerAnswer(
                 boot_id=raw["boot_id"],
                 clock_ms=raw["clock_ms"],
                 term=raw["term"],
                 sequence=raw["sequence"],
-                accepted=answer.status == 200,
+                accepted=response.status == 200,
                 cold=raw["cold"],
             )
         )
     except (ValueError, KeyError, TypeError) as error:
-        return Failure(UnansweredError(f"control answer not understood: {error!r}"))
+        return Failure(
+            UnansweredError(f"invalid response to a control request: {error!r}")
+        )
 
 
-def _ranges(tokens):
-    """Join neighbouring slices with one token into ``[first, count, token]``."""
+def _token_ranges(tokens):
+    """Return runs of adjacent slices with equal tokens as ``[first, count, token]``."""
     ranges = []
     for index in sorted(tokens):
         token = tokens[index]
--- a/src/tarragonramp/adapters/fleet_peers.py
+++ b/src/tarragonramp/adapters/fleet_peers.py
@@ -1,4 +1,4 @@
-"""What daemons of a fleet say to each other, as packed JSON over HTTP."""
+"""Messages between the daemons of a fleet: deflate-compressed JSON over HTTP."""
 
 import json
 import random
@@ -24,20 +24,20 @@
     "/metrics",
 )
 TIMEOUT_MS = 450.0
-MESSAGE_BYTES = 16 << 20
-PACKED = ("Content-Encoding", "deflate")
+MAX_MESSAGE_BYTES = 16 << 20
+DEFLATE_HEADER = ("Content-Encoding", "deflate")
 
 
 @attrs.define(eq=False, repr=False)
 class FleetPeers:
-    """Asks other daemons.
+    """Client side of the messages between daemons.
 
     Parameters
     ----------
     view : FleetView
-        Knows where they are.
+        Holds the addresses of the other daemons.
     name : str
-        Of this daemon.
+        Name of this daemon.
     """
 
     view: object
@@ -46,93 +46,96 @@
     _rng: random.Random = attrs.Factory(random.Random)
 
     def __attrs_post_init__(self):
-        """Prepare the connections."""
+        """Create the connection pools."""
         options = {"max_idle": 2, "keepalive": True, "connect_ms": TIMEOUT_MS}
-        self._pools = HttpPools(16 << 20, unsent_ms=TIMEOUT_MS, options=options)
+        self._pools = HttpPools(16 << 20, user_timeout_ms=TIMEOUT_MS, options=options)
 
     def ping(self, address, message, wait_ms) -> Result:
-        """Tell the leader of this daemon and wait for news, up to a time.
+        """Report this daemon to the leader and wait up to ``wait_ms`` for updates.
 
         Returns
         -------
-        told : Success of dict, or Failure of ExchangeError
+        reply : Success of dict, or Failure of ExchangeError
         """
         timeout_ms = wait_ms + TIMEOUT_MS
         return self._exchange("POST", address, PING, message, timeout_ms)
 
     def step_down(self, address, term, successor) -> Result:
-        """Tell an earlier leader that the daemon at another address has its term."""
+        """Tell a former leader that the daemon at ``successor`` has a later term."""
         message = {"term": term, "successor": successor}
         return self._exchange("POST", address, STEP_DOWN, message)
 
     def relay(self, address, message, timeout_ms) -> Result:
-        """Have a daemon renew grants; Success of its words, or an ExchangeError."""
+        """Have a daemon renew grants; Success of its reply, or an ExchangeError."""
         return self._exchange("POST", address, RELAY, message, timeout_ms)
 
     def news(self, kind, since_version, address=""):
-        """Ask a peer for newer objects of a kind.
+        """Ask a peer for objects of a kind that changed after a version.
 
         Parameters
         ----------
         kind : str
         since_version : int
         address : str, default=""
-            Of the peer; empty for any, one that follows the store if known.
+            Address of the peer. If empty, a random peer is asked, preferably one that
+            follows the store itself.
 
         Returns
         -------
         news : dict
-            As ``Follower.news_since`` returns it; empty if there are none.
+            As ``Follower.news_since`` returns it; empty if there are no updates.
         """
-        address = address or self._any_watcher()
+        address = address or self._pick_peer()
         if not address:
             return {}
         query = urllib.parse.urlencode({"kind": kind, "since": since_version})
         result = self._exchange("GET", address, f"{NEWS}?{query}", None)
         return result.unwrap() if is_successful(result) else {}
 
-    def _any_watcher(self):
-        """Return where some other daemon is asked; empty if there is none."""
+    def _pick_peer(self):
+        """Return the address of a random peer to ask; empty if there is none."""
         others = {n: a for n, a in self.view.daemons.items() if n != self.name}
         watchers = [a for name, a in others.items() if name in self.view.watchers]
         others = watchers or list(others.values())
         return self._rng.choice(others) if others else ""
 
     def _exchange(self, method, address, target, message, timeout_ms=TIMEOUT_MS):
-        data = b"" if message is None else _dumped(message)
+        data = b"" if message is None else _encode(message)
         pool = self._pools.at(address)
-        headers = [PACKED] if data else []
+        headers = [DEFLATE_HEADER] if data else []
         result = pool.exchange(method, target, headers, data, timeout_ms)
-        return result.bind(_read)
+        return result.bind(_parse_response)
 
 
-def _dumped(message):
-    # Packed: what daemons tell each other crosses failure domains, which is paid for.
+def _encode(message):
+    # Compressed because traffic between failure domains is billed.
     return zlib.compress(json.dumps(message, separators=(",", ":")).encode())
 
 
-def _loaded(data):
-    """Return what was packed by a peer; ValueError if it is not that."""
-    unpacking = zlib.decompressobj()
+def _decode(data):
+    """Decompress and parse a peer's message; ValueError if it is malformed."""
+    decompressor = zlib.decompressobj()
     try:
-        return json.loads(unpacking.decompress(data, MESSAGE_BYTES))
+        return json.loads(decompressor.decompress(data, MAX_MESSAGE_BYTES))
     except zlib.error as error:
-        raise ValueError("message not packed") from error
+        raise ValueError("message is not deflate-compressed") from error
 
 
-def _read(answer):
+def _parse_response(response):
     try:
-        raw = _loaded(answer.body)
+        raw = _decode(response.body)
     except ValueError:
         raw = None
-    if answer.status != 200 or not isinstance(raw, dict):
-        return Failure(UnansweredError(f"peer answered {answer.status}"))
+    if response.status != 200 or not isinstance(raw, dict):
+        return Failure(
+            UnansweredError(f"unusable response from peer, status {response.status}")
+        )
     return Success(raw)
 
 
 @attrs.define(eq=False, repr=False)
 class PeerApplication:
-    """WSGI application for other daemons, and for the reader of metrics.
+    """WSGI application that serves other daemons and the metrics scraper.
 
     Parameters
     ----------
@@ -140,7 +143,7 @@
     follower : Follower
     relay : Relay
     metrics : callable
-        Returns the page and its content type.
+        Returns the metrics page as bytes, and its content type.
     """
 
     leadership: object
@@ -153,17 +156,17 @@
         path = environ["PATH_INFO"]
         try:
             if path == PING:
-                answer = self.leadership.heard(_body(environ))
+                response = self.leadership.heard(_read_message(environ))
             elif path == STEP_DOWN:
-                told = _body(environ)
-                answer = self.leadership.told_to_step_down(
-                    told["term"], str(told.get("successor", ""))
+                request = _read_message(environ)
+                response = self.leadership.told_to_step_down(
+                    request["term"], str(request.get("successor", ""))
                 )
             elif path == RELAY:
                 is_wanted = lambda: not caller_is_gone(environ)
-                answer = self.relay.send(_body(environ), is_wanted)
+                response = self.relay.send(_read_message(environ), is_wanted)
             elif path == NEWS:
-                answer = self._news(environ)
+                response = self._news(environ)
             elif path == METRICS:
                 return self._metrics(start_response)
             else:
@@ -173,12 +176,15 @@
             return error_reply(start_response, error)
         except RequestError as error:
             return error_reply(start_response, error)
-        body = _dumped(answer)
-        start_response("200 OK", [PACKED, ("Content-Length", str(len(body)))])
+        body = _encode(response)
+        start_response("200 OK", [DEFLATE_HEADER, ("Content-Length", str(len(body)))])
         return [body]
 
     def metrics_only(self, environ, start_response):
-        """Serve the metrics and nothing else: whoever reads them is no daemon."""
+        """Serve only the metrics, for the scraper's address.
+
+        The scraper is not a peer and gets no access to the peer messages.
+        """
         if environ["PATH_INFO"] != METRICS:
             error = RequestError(404, NOT_RUN, "no such page")
             return error_reply(start_response, error)
@@ -197,8 +203,8 @@
         return [page]
 
 
-def _body(environ):
-    raw = _loaded(environ["wsgi.input"].read())
+def _read_message(environ):
+    raw = _decode(environ["wsgi.input"].read())
     if not isinstance(raw, dict):
-        raise ValueError("no mapping")
+        raise ValueError("message is not a mapping")
     return raw
--- a/src/tarragonramp/adapters/http.py
+++ b/src/tarragonramp/adapters/http.py
@@ -1,7 +1,8 @@
-"""Pooled HTTP exchanges whose outcome is never in more doubt than it has to be.
+"""Pooled HTTP client that reports whether any byte of a request was sent.
 
-The client of the HTTP library sends an idempotent request again by itself, and
-cannot say whether bytes left. Both matter here, so only its parser is used.
+The HTTP library's own client retries idempotent requests by itself and does not tell
+whether bytes were sent. A router needs to control both, so only the library's response
+parser is used.
 """
 
 import re
@@ -31,14 +32,15 @@
 
 RECEIVE_BYTES = 65_536
 MAX_IDLE_CONNECTIONS = 64
-ANSWER_HEAD_BYTES = 65_536
+MAX_RESPONSE_HEAD_BYTES = 65_536
 SWITCHING_PROTOCOLS = 101
 
-# Quick answers cost no look at the caller; a slow one is given up on this long after
-# its caller has gone.
+# Interval at which a pending exchange checks whether its caller is still connected.
+# Responses that arrive sooner cost no check.
 CANCELLATION_CHECK_MS = 50.0
 
-# Echoed by servers that know them; another value than was sent is another's answer.
+# Servers that know these headers echo them. A value other than the one sent means that
+# the response belongs to another request.
 ECHOED_HEADERS = ("x-request-id", "tarragon-exchange")
 
 _TOKEN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
@@ -48,7 +50,7 @@
 
 @attrs.frozen
 class Answer:
-    """A whole HTTP answer.
+    """A complete HTTP response.
 
     Parameters
     ----------
@@ -62,7 +64,7 @@
     body: bytes
 
     def header(self, name, default=""):
-        """Return the first value of a header, whatever its case.
+        """Return the first value of a header; the name is case-insensitive.
 
         Parameters
         ----------
@@ -77,48 +79,48 @@
 
 
 def split_address(address):
-    """Split ``ip:port`` into a pair that sockets take."""
+    """Split ``ip:port`` into a ``(host, port)`` pair for the socket module."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 @attrs.define(eq=False, repr=False)
 class HttpPool:
-    """Connections to one address.
+    """Pool of connections to one address.
 
     Parameters
     ----------
     address : str
         ``ip:port``.
     answer_bytes : int
-        Longest answer body taken.
+        Longest response body accepted.
     traffic : TrafficMeter, optional
-        Counts the exchanges of a pool that carries control.
-    unsent_ms : float, default=0.0
-        How long the kernel may try to deliver what was sent, also after the
-        connection was closed; 0 for as long as it likes.
+        Counts the exchanges of a pool that carries control traffic.
+    user_timeout_ms : float, default=0.0
+        How long the kernel may retransmit unacknowledged data, also after the
+        connection was closed (TCP_USER_TIMEOUT); 0 for the kernel's default.
     echoed_headers : tuple of str
-        Lower-case names of headers whose value, where an answer has them, must be
-        the one that was sent.
+        Lower-case names of headers that, if present in a response, must have the value
+        that was sent.
     max_idle : int
-        Most connections kept for later.
+        Maximum number of idle connections kept.
     max_idle_ms : float
-        A connection unused for longer is closed and not used again: the server may
-        be about to close it. 0 for no limit.
+        A connection that was idle for longer is closed instead of reused, because the
+        server may be about to close it. 0 for no limit.
     takes_unframed : bool
-        Whether an answer without a length that ends with its connection is whole;
-        one that ends with a reset never is.
+        Whether to accept close-delimited responses (no length, ended by the close of
+        the connection). One that ends with a reset is never accepted.
     keepalive : bool
-        Whether the kernel asks a silent peer now and then, so that a connection
-        that has gone silent for good fails after a few seconds.
+        Whether to enable TCP keep-alive, so that a connection whose peer has silently
+        disappeared fails after a few seconds.
     connect_ms : float
-        Longest time to open a connection; 0 for the whole timeout.
+        Longest time to open a connection; 0 for the timeout of the exchange.
     """
 
     address: str
     answer_bytes: int = 8_388_608
     traffic: object = None
-    unsent_ms: float = 0.0
+    user_timeout_ms: float = 0.0
     echoed_headers: tuple = ECHOED_HEADERS
     max_idle: int = MAX_IDLE_CONNECTIONS
     max_idle_ms: float = 0.0
@@ -141,52 +143,55 @@
         tag=None,
         may_send=None,
     ) -> Result:
-        """Send a request once and read its whole answer.
+        """Send a request once and read the complete response.
 
         Parameters
         ----------
         method, target : str
         headers : list of (str, str)
-            Without framing headers, which are set here. An ``X-Request-Id`` or
-            ``Tarragon-Exchange`` that the answer echoes has to be the same there.
+            Without framing headers, which are set here. If the response echoes
+            ``X-Request-Id`` or ``Tarragon-Exchange``, the values have to match.
         body : bytes
         timeout_ms : float
             For the whole exchange.
         is_wanted : callable, optional
-            Asked now and then while the server is at work; once it returns False
-            the connection is closed, which tells the server to stop.
+            Polled while waiting for the response. Once it returns False the connection
+            is closed, which tells the server to stop.
         reuse_only : bool, default=False
-            Whether to send over an idle connection or not at all.
+            Whether to fail rather than open a new connection.
         tag : hashable, optional
-            What the request is about. With ``reuse_only``, only a connection that has
-            carried one with this tag is used: another may reach a later process.
+            Identifies what the request is about. With ``reuse_only``, only a connection
+            that has carried a request with this tag is used: any other one may lead to
+            a later process at the same address.
         may_send : callable, optional
-            Asked as the last thing before the first byte leaves: whoever has a right
-            that ends must not send what it decided before this process stood still.
+            Checked immediately before the first byte is sent. A sender whose right to
+            send expires must not send after a pause of this process what it decided
+            before the pause.
 
         Returns
         -------
-        answer : Success of Answer, or Failure of ExchangeError
-            NotSentError if no byte left, and of these NoConnectionError if none was
-            to be opened; AbandonedError if nobody wanted the answer any more, else
-            UnansweredError.
+        response : Success of Response, or Failure of ExchangeError
+            NotSentError if no byte was sent (NoConnectionError if no connection was
+            open and none could be opened because of ``reuse_only``); AbandonedError if
+            ``is_wanted`` returned False; otherwise UnansweredError.
         """
-        # Before all else: a pause of this process counts, wherever it falls.
+        # Computed first, so that a pause of this process at any later point counts
+        # against the timeout.
         deadline_s = time.monotonic() + timeout_ms / 1000.0
         try:
             data = _request_bytes(method, target, self.address, headers, body)
         except ValueError as error:
             return Failure(NotSentError(str(error)))
         try:
-            connection = self._take_idle(tag if reuse_only else None)
+            connection = self._acquire_idle(tag if reuse_only else None)
             if connection is None and reuse_only:
-                return Failure(NoConnectionError(f"{self.address}: none is open"))
+                return Failure(NoConnectionError(f"{self.address}: no open connection"))
             connection = connection or self._open(deadline_s)
         except OSError as error:
             return Failure(NotSentError(f"{self.address}: {error}"))
         if may_send is not None and not may_send():
             connection.close()
-            return Failure(NotSentError(f"{self.address}: too late to send"))
+            return Failure(NotSentError(f"{self.address}: right to send has expired"))
         if tag is not None:
             self._tags.setdefault(connection, set()).add(tag)
         try:
@@ -194,8 +199,8 @@
             connection.sendall(data)
             if self.traffic is not None:
                 self.traffic.sent(kind_of(method, target), len(data))
-            response, n_received = self._read(connection, method, deadline_s, is_wanted)
-            _check_echo(response, headers, self.echoed_headers)
+            parser, n_received = self._read(connection, method, deadline_s, is_wanted)
+            _check_echo(parser, headers, self.echoed_headers)
         except AbandonedError as error:
             connection.close()
             return Failure(error)
@@ -203,41 +208,44 @@
             connection.close()
             return Failure(UnansweredError(f"{self.address}: {error}"))
         except BaseException:
-            # The greenlet is being killed or timed out from outside: an answer may
-            # still be on its way, and must not meet the connection's next request.
+            # The greenlet is being killed or timed out from outside. The response may
+            # still arrive, and the connection's next request must not receive it.
             connection.close()
             raise
         if self.traffic is not None:
             self.traffic.received(kind_of(method, target), n_received)
-        self._give_back(connection, response)
-        answer = Answer(
-            response.status_code, tuple(response.items()), bytes(response._body_buffer)
+        self._release(connection, parser)
+        response = Answer(
+            parser.status_code, tuple(parser.items()), bytes(parser._body_buffer)
         )
-        return Success(answer)
+        return Success(response)
 
     def has_live_idle(self):
-        """Tell whether the idle connection that is used next is still open.
+        """Return whether the idle connection that is used next is still open.
 
-        If the server has closed it, the others are closed too: it may be another
-        process by now.
+        If the server has closed it, all idle connections are closed, because a new
+        process may be running at the address.
         """
-        if self._idle and _is_quiet(self._idle[-1]):
+        if self._idle and _is_open_and_empty(self._idle[-1]):
             return True
         self.close()
         return False
 
     def has_lost_idle(self):
-        """Tell whether the server has closed the idle connection used next."""
+        """Return whether the server has closed the idle connection used next."""
         return bool(self._idle) and not self.has_live_idle()
 
     def close(self):
-        """Close idle connections."""
+        """Close all idle connections."""
         while self._idle:
             self._idle.pop().close()
         self._idle_since_s.clear()
 
-    def _take_idle(self, tag=None):
-        """Take a connection out that is open, and has carried a tag if one is given."""
+    def _acquire_idle(self, tag=None):
+        """Remove and return an open idle connection, or None.
+
+        With a tag, only a connection that has carried this tag.
+        """
         oldest_s = time.monotonic() - self.max_idle_ms / 1000.0
         for connection in reversed(self._idle.copy()):
             if tag is not None and tag not in self._tags.get(connection, ()):
@@ -245,7 +253,7 @@
             self._idle.remove(connection)
             since_s = self._idle_since_s.pop(connection, 0.0)
             is_stale = self.max_idle_ms and since_s < oldest_s
-            if not is_stale and _is_quiet(connection):
+            if not is_stale and _is_open_and_empty(connection):
                 return connection
             connection.close()
         return None
@@ -258,33 +266,33 @@
             split_address(self.address), timeout=timeout_s
         )
         connection.setsockopt(plain_socket.IPPROTO_TCP, plain_socket.TCP_NODELAY, 1)
-        if self.unsent_ms:
-            _forget_unsent(connection, self.unsent_ms)
+        if self.user_timeout_ms:
+            _set_user_timeout(connection, self.user_timeout_ms)
         if self.keepalive:
-            _keep_alive(connection)
+            _enable_keepalive(connection)
         return connection
 
     def _read(self, connection, method, deadline_s, is_wanted):
-        response = _StrictResponse(method)
+        parser = _StrictResponseParser(method)
         n_received = 0
-        while not response.is_final:
+        while not parser.is_final:
             data = _receive(connection, deadline_s, is_wanted)
             if not data:
-                if self.takes_unframed and response.ends_with_connection():
+                if self.takes_unframed and parser.is_close_delimited():
                     break
-                # Also an answer that ends with the connection: it cannot be told
-                # from one that was cut short.
+                # Close-delimited responses are refused as well: they cannot be
+                # distinguished from truncated ones.
                 raise HTTPParseError("connection closed before the answer was whole")
-            response.feed(data)
+            parser.feed(data)
             n_received += len(data)
-            if not response.headers_complete and n_received > ANSWER_HEAD_BYTES:
-                raise HTTPParseError("answer headers longer than the limit")
-            if len(response._body_buffer) > self.answer_bytes:
-                raise HTTPParseError("answer longer than the limit")
-        return response, n_received
-
-    def _give_back(self, connection, response):
-        closes = response.should_close() or not response.is_final
+            if not parser.headers_complete and n_received > MAX_RESPONSE_HEAD_BYTES:
+                raise HTTPParseError("response headers longer than the limit")
+            if len(parser._body_buffer) > self.answer_bytes:
+                raise HTTPParseError("response body longer than the limit")
+        return parser, n_received
+
+    def _release(self, connection, parser):
+        closes = parser.should_close() or not parser.is_final
         if closes or len(self._idle) >= self.max_idle:
             connection.close()
             return
@@ -294,19 +302,19 @@
 
 @attrs.define(eq=False, repr=False)
 class HttpPools:
-    """One pool an address, made when first needed.
+    """One pool per address, created on first use.
 
     Parameters
     ----------
-    answer_bytes, traffic, unsent_ms
+    answer_bytes, traffic, user_timeout_ms
         As for :class:`HttpPool`.
     options : dict
-        Further arguments of :class:`HttpPool`.
+        Further keyword arguments of :class:`HttpPool`.
     """
 
     answer_bytes: int = 8_388_608
     traffic: object = None
-    unsent_ms: float = 0.0
+    user_timeout_ms: float = 0.0
     options: dict = attrs.Factory(dict)
     _pools: dict = attrs.Factory(dict)
 
@@ -318,31 +326,32 @@
                 address,
                 self.answer_bytes,
                 self.traffic,
-                self.unsent_ms,
+                self.user_timeout_ms,
                 **self.options,
             )
         return pool
 
 
-def _forget_unsent(connection, unsent_ms):
-    """Guard against a request that arrives long after it was given up on.
+def _set_user_timeout(connection, user_timeout_ms):
+    """Keep the kernel from delivering a request long after it has timed out.
 
-    The kernel goes on delivering to a server that is cut off, also for a process that
-    has died: the server would run the request when the cut is over and the key has
-    another owner. Closing discards what has not left, and the kernel gives up in time.
+    The kernel keeps retransmitting to an unreachable server even after the sending
+    process has died. Once the network recovers, the server would run the request
+    although its key has another owner by then. TCP_USER_TIMEOUT bounds retransmission,
+    and a zero linger time discards unsent data on close.
     """
     connection.setsockopt(
-        plain_socket.IPPROTO_TCP, plain_socket.TCP_USER_TIMEOUT, int(unsent_ms)
+        plain_socket.IPPROTO_TCP, plain_socket.TCP_USER_TIMEOUT, int(user_timeout_ms)
     )
     linger = struct.pack("ii", 1, 0)
     connection.setsockopt(plain_socket.SOL_SOCKET, plain_socket.SO_LINGER, linger)
 
 
-def _keep_alive(connection):
-    """Guard against a connection that goes silent without a reset.
+def _enable_keepalive(connection):
+    """Detect connections whose peer disappears without a reset.
 
-    It shows as an answer that never comes, and neither side would notice. Probes each
-    second end it after three unanswered ones.
+    Without probes neither side would notice, and a pending response would never arrive.
+    Probes are sent every second; three unanswered ones close the connection.
     """
     connection.setsockopt(plain_socket.SOL_SOCKET, plain_socket.SO_KEEPALIVE, 1)
     for option, value in (
@@ -353,11 +362,11 @@
         connection.setsockopt(plain_socket.IPPROTO_TCP, option, value)
 
 
-class _StrictResponse(HTTPResponse):
-    """Ends with its first final answer; bytes after that are an error.
+class _StrictResponseParser(HTTPResponse):
+    """A response parser that treats bytes after the final response as an error.
 
-    The library goes on with whatever follows as if it were the same answer, so a
-    late or forged second one would be handed to the caller in place of the first.
+    The library's parser continues with whatever follows as part of the same response,
+    so a late or forged second response would replace the first one.
     """
 
     def __init__(self, method):
@@ -366,11 +375,11 @@
 
     def _on_message_begin(self):
         if self.is_final:
-            raise HTTPProtocolViolationError("bytes after the end of the answer")
+            raise HTTPProtocolViolationError("bytes after the end of the response")
         super()._on_message_begin()
 
-    def ends_with_connection(self):
-        """Tell whether the answer has no length, so that its end is the stream's."""
+    def is_close_delimited(self):
+        """Return whether the response ends with the connection, having no length."""
         return (
             self.headers_complete
             and self.get("content-length") is None
@@ -380,17 +389,17 @@
     def _flush_header(self):
         if not self.headers_complete:
             super()._flush_header()
-        # Else it is a trailer: what was read as headers must not change after them.
+        # A field after the header section is a trailer, which must not alter headers.
 
     def _on_message_complete(self):
         super()._on_message_complete()
         if self.get_code() == SWITCHING_PROTOCOLS:
-            raise HTTPProtocolViolationError("protocol switch that nobody asked for")
+            raise HTTPProtocolViolationError("unexpected protocol switch (status 101)")
         self.is_final = self.get_code() >= 200
 
 
 def _receive(connection, deadline_s, is_wanted):
-    """Receive some bytes, looking now and then whether they are still wanted."""
+    """Receive bytes, polling ``is_wanted`` until they arrive."""
     while True:
         remaining_s = _remaining_s(deadline_s)
         if is_wanted is None:
@@ -401,15 +410,15 @@
             return connection.recv(RECEIVE_BYTES)
         except TimeoutError:
             if not is_wanted():
-                raise AbandonedError("the caller has gone") from None
+                raise AbandonedError("caller disconnected") from None
 
 
-def _check_echo(response, headers, echoed_headers):
-    """Refuse an answer that names another request than the one it should be for."""
+def _check_echo(parser, headers, echoed_headers):
+    """Raise HTTPParseError if an echoed header differs from the one sent."""
     for name, sent in headers:
         lower = name.lower()
-        if sent and lower in echoed_headers and response.get(lower, sent) != sent:
-            raise HTTPParseError(f"answer names another request in {name}")
+        if sent and lower in echoed_headers and parser.get(lower, sent) != sent:
+            raise HTTPParseError(f"response belongs to another request: {name} differs")
 
 
 def _remaining_s(deadline_s):
@@ -419,11 +428,11 @@
     return remaining_s
 
 
-def _is_quiet(connection):
-    """Tell whether a pooled connection is open and has nothing to read.
+def _is_open_and_empty(connection):
+    """Return whether a pooled connection is open and has no unread bytes.
 
-    Guards against servers that closed it between two requests and against bytes
-    that belong to an earlier answer.
+    A closed connection must not be reused, nor one with bytes that belong to an earlier
+    response.
     """
     connection.settimeout(0)
     try:
--- a/src/tarragonramp/adapters/platform.py
+++ b/src/tarragonramp/adapters/platform.py
@@ -19,18 +19,18 @@
 
 __all__ = ["HttpPlatform", "platform_error"]
 
-_WATCH_GRACE_MS = 500
+_WATCH_MARGIN_MS = 500
 
 
 @attrs.define(eq=False, repr=False)
 class HttpPlatform:
-    """Objects of the platform.
+    """Client of the platform's object API.
 
     Parameters
     ----------
     pool : HttpPool
     timeout_ms : float
-        For every call but a watch.
+        Timeout of every call except a watch.
     """
 
     pool: HttpPool
@@ -40,7 +40,7 @@
 
     @classmethod
     def from_config(cls, settings, traffic=None):
-        """Make one from a daemon's settings; ``traffic`` counts its calls."""
+        """Create a client from a daemon's settings; ``traffic`` counts its calls."""
         pool = HttpPool(settings.platform_address, traffic=traffic)
         return cls(pool, settings.timing.platform_timeout_ms)
 
@@ -53,38 +53,40 @@
         return self._call("GET", f"/v1/objects/{kind}").map(_stored_list)
 
     def put(self, kind, name, spec, expected_version) -> Result:
-        """Write if the object is at the expected version (0: does not exist)."""
+        """Write the object if it is at the expected version (0: does not exist)."""
         target = f"/v1/objects/{kind}/{name}?version={expected_version}"
         return self._call("PUT", target, spec, expected_version).map(_stored)
 
     def delete(self, kind, name, expected_version) -> Result:
-        """Delete if the object is at the expected version."""
+        """Delete the object if it is at the expected version."""
         target = f"/v1/objects/{kind}/{name}?version={expected_version}"
         return self._call("DELETE", target, None, expected_version).map(_stored)
 
     def watch(self, since_version, wait_ms, kinds=()) -> Result:
-        """Return Success of ``(version, changes)`` once there are any, or in time."""
+        """Wait up to ``wait_ms`` for changes; Success of ``(version, changes)``."""
         target = f"/v1/watch?since={since_version}&wait_ms={int(wait_ms)}"
         if kinds:
             target += f"&kinds={','.join(kinds)}"
-        result = self._call("GET", target, timeout_ms=wait_ms + _WATCH_GRACE_MS)
+        result = self._call("GET", target, timeout_ms=wait_ms + _WATCH_MARGIN_MS)
         return result.map(lambda raw: (raw["version"], _stored_list(raw)))
 
     def list_vms(self) -> Result:
-        """Return Success of a list of Vm, the same object for the same answer.
+        """Return Success of a list of Vm; the same object for an unchanged response.
 
-        The list has no version: reading thousands of unchanged VMs each second would
-        cost more than all other control.
+        The list has no version. Parsing thousands of unchanged VMs every second would
+        cost more than all other control work.
         """
         result = self._exchange("GET", "/v1/vms", b"", self.timeout_ms)
-        return result.bind(self._read_vms)
+        return result.bind(self._parse_vms)
 
-    def _read_vms(self, answer):
-        if answer.status == 200 and answer.body == self._vms_body:
+    def _parse_vms(self, response):
+        if response.status == 200 and response.body == self._vms_body:
             return Success(self._vms)
-        return _checked(answer, 0).map(lambda raw: self._hold_vms(raw, answer.body))
+        return _parse_response(response, 0).map(
+            lambda raw: self._cache_vms(raw, response.body)
+        )
 
-    def _hold_vms(self, raw, body):
+    def _cache_vms(self, raw, body):
         self._vms = [Vm(**item) for item in raw["items"]]
         self._vms_body = body
         return self._vms
@@ -93,7 +95,7 @@
         body = b"" if spec is None else json.dumps(spec).encode()
         wait_ms = self.timeout_ms if timeout_ms is None else timeout_ms
         result = self._exchange(method, target, body, wait_ms)
-        return result.bind(lambda answer: _checked(answer, expected_version))
+        return result.bind(lambda response: _parse_response(response, expected_version))
 
     def _exchange(self, method, target, body, wait_ms):
         headers = [("Content-Type", "application/json")]
@@ -102,26 +104,32 @@
 
 
 def platform_error(error: ExchangeError):
-    """Return the PlatformError of an exchange without a whole answer."""
+    """Convert the error of an incomplete exchange into a PlatformError."""
     if isinstance(error, NotSentError):
         return PlatformNotSentError(str(error))
     return PlatformUnreachableError(str(error))
 
 
-def _checked(answer, expected_version):
-    if answer.status == 404:
+def _parse_response(response, expected_version):
+    if response.status == 404:
         return Failure(NotFoundError("no such object"))
-    if answer.status >= 500:
-        return Failure(PlatformUnreachableError(f"platform answered {answer.status}"))
+    if response.status >= 500:
+        return Failure(
+            PlatformUnreachableError(
+                f"platform responded with status {response.status}"
+            )
+        )
     try:
-        raw = json.loads(answer.body)
+        raw = json.loads(response.body)
     except ValueError:
-        return Failure(PlatformUnreachableError("platform answer is not JSON"))
-    if answer.status == 409:
+        return Failure(PlatformUnreachableError("platform response is not JSON"))
+    if response.status == 409:
         current = raw.get("current")
         return Failure(ConflictError(expected_version, current and _stored(current)))
-    if answer.status != 200:
-        return Failure(PlatformError(f"platform answered {answer.status}: {raw}"))
+    if response.status != 200:
+        return Failure(
+            PlatformError(f"platform responded with status {response.status}: {raw}")
+        )
     return Success(raw)
 
 
--- a/src/tarragonramp/daemon.py
+++ b/src/tarragonramp/daemon.py
@@ -62,7 +62,7 @@
 EXIT_ADDRESS = 1
 EXIT_SETTINGS = 2
 WAITING_LOG_MS = 5000
-CONTROL_IDLE_MS = 200
+CONTROL_DRAIN_IDLE_MS = 200
 
 
 @attrs.define(eq=False, repr=False)
@@ -92,7 +92,7 @@
     gatekeeper: object = None
     peer_server: object = None
     control: object = None
-    callers: object = None
+    caller_server: object = None
     ready: bool = False
     stopped: Event = attrs.Factory(Event)
     loop_watch: LoopWatch = attrs.Factory(lambda: LoopWatch(_log_blocked))
@@ -161,7 +161,9 @@
             metrics=Metrics(me.name, requests, traffic, cpu),
         )
         daemon.entry.stood_still_ms = daemon.loop_watch.stood_still_ms
-        gate_pools = HttpPools(settings.limits.answer_bytes, unsent_ms=timing.right_ms)
+        gate_pools = HttpPools(
+            settings.limits.answer_bytes, user_timeout_ms=timing.right_ms
+        )
         daemon.gatekeeper = GateKeeper(
             daemon.stewards,
             view,
@@ -203,7 +205,7 @@
         self.control = DaemonServer(
             settings.control_address, application, clock, self.traffic
         )
-        self.callers = DaemonServer(
+        self.caller_server = DaemonServer(
             settings.caller_address,
             self.entry,
             clock,
@@ -223,9 +225,9 @@
         keep_running(self.loop_watch.run)
         keep_running(self.news.run)
         keep_running(self.news.run_vm_list)
-        starting = [keep_running(self._join_fleet), keep_running(self._open)]
+        startup_tasks = [keep_running(self._join_fleet), keep_running(self._open)]
         self.stopped.wait()
-        gevent.killall(starting)
+        gevent.killall(startup_tasks)
         self._drain()
 
     def stop(self):
@@ -250,7 +252,7 @@
         """Take callers once there is a view to route by."""
         while not self.news.synced.wait(WAITING_LOG_MS / 1000.0):
             log_event("daemon-waiting", reason="platform not read yet")
-        self.callers.start()
+        self.caller_server.start()
         self.ready = True
         log_event("daemon-ready", identity=self.me.identity)
 
@@ -265,13 +267,13 @@
         was_ready, self.ready = self.ready, False
         log_event("daemon-draining", was_ready=was_ready)
         self.keeper.leave()
-        self.callers.leave()
+        self.caller_server.leave()
         if was_ready:
             gevent.sleep(timing.unready_ms / 1000.0)
-        drained = self.callers.drain(timing.drain_idle_ms, timing.drain_ms)
+        drained = self.caller_server.drain(timing.drain_idle_ms, timing.drain_ms)
         all_handed = self.keeper.hand_over_all(timing.handover_ms)
         unregistered = all_handed and self.membership.unregister()
-        self.control.drain(CONTROL_IDLE_MS, timing.control_timeout_ms * 2)
+        self.control.drain(CONTROL_DRAIN_IDLE_MS, timing.control_timeout_ms * 2)
         # Requests that other daemons forwarded here are callers' requests, too.
         self.peer_server.stop(timing.drain_ms)
         log_event(
@@ -296,7 +298,7 @@
         add = self.metrics.add_gauge
         add("ready", "1 if callers may be sent here.", lambda: int(self.ready))
         add("view.version", "Newest platform version.", lambda: self.view.version)
-        add("news.watching", "1 if it watches the platform.", self._watching)
+        add("news.watching", "1 if it watches the platform.", self._is_watching)
         add("terms.held", "Terms held here.", self._terms_held, "role")
         add(
             "servers",
@@ -324,7 +326,7 @@
             log_lines_suppressed,
         )
 
-    def _watching(self):
+    def _is_watching(self):
         return int(self.news.source == PLATFORM)
 
     def _terms_held(self):
@@ -373,8 +375,8 @@
     except AddressError as error:
         log_event("daemon-not-started", error=error)
         return EXIT_ADDRESS
-    for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, daemon.stop)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        gevent.signal_handler(signum, daemon.stop)
     daemon.run()
     return 0
 
--- a/src/tarragonramp/fleet.py
+++ b/src/tarragonramp/fleet.py
@@ -41,20 +41,20 @@
 """How long a stopping daemon is not ready and still takes connections: callers are
 sent here until two looks a second apart have found it not ready."""
 
-LEAST_DRAIN_MS = 500.0
+MIN_DRAIN_MS = 500.0
 GRACE_MARGIN_MS = 400.0
 """Left of the time before a stopping process is killed, for its own end."""
 
-IDLE_ON_STOP_MS = 100.0
-SERVER_IDLE_MS = 6000.0
+DRAIN_IDLE_MS = 100.0
+SERVER_MAX_IDLE_MS = 6000.0
 """How long a connection to a server is kept unused. Servers close theirs after some
 ten seconds, and a request sent at that moment would be lost."""
 
 SERVER_CONNECT_MS = 700.0
-UNSENT_MS = 1500.0
+USER_TIMEOUT_MS = 1500.0
 """How long the kernel tries to deliver what a server does not acknowledge."""
 
-HEADER_LINES = 100
+MAX_HEADER_LINES = 100
 
 
 @attrs.frozen
@@ -157,7 +157,7 @@
     clock: object
     traffic: TrafficMeter = attrs.Factory(TrafficMeter)
     cpu: CpuMeter = attrs.Factory(CpuMeter)
-    callers: object = None
+    caller_server: object = None
     ready: object = None
     peers: object = None
     metrics: object = None
@@ -188,7 +188,7 @@
         requests = RequestMeter()
         options = {
             "echoed_headers": ports.dialect.echoed_headers,
-            "max_idle_ms": SERVER_IDLE_MS,
+            "max_idle_ms": SERVER_MAX_IDLE_MS,
             "takes_unframed": True,
             "keepalive": True,
             "connect_ms": SERVER_CONNECT_MS,
@@ -197,7 +197,7 @@
             view,
             loads,
             ColdShares(settings.name),
-            HttpPools(32 << 20, unsent_ms=UNSENT_MS, options=options),
+            HttpPools(32 << 20, user_timeout_ms=USER_TIMEOUT_MS, options=options),
             ports.dialect,
             settings.bounds,
             requests,
@@ -228,9 +228,11 @@
 
     def _add_servers(self):
         settings, clock = self.settings, self.clock
-        self.callers = PipeliningServer(settings.caller_address, self.router, clock)
+        self.caller_server = PipeliningServer(
+            settings.caller_address, self.router, clock
+        )
         self.ready = DaemonServer(
-            settings.ready_address, self._say_ready, clock, self.traffic
+            settings.ready_address, self._serve_readiness, clock, self.traffic
         )
         application = PeerApplication(
             self.leadership,
@@ -268,10 +270,10 @@
         keep_running(self.follower.run_missing)
         keep_running(self.leadership.run)
         keep_running(self.granter.run)
-        opening = keep_running(self._open)
+        open_task = keep_running(self._open)
         keep_running(self._tidy)
         self.stopped.wait()
-        opening.kill()
+        open_task.kill()
         self._drain()
 
     def stop(self):
@@ -293,29 +295,29 @@
 
     def _open(self):
         """Take callers once it is known where their requests go."""
-        while not self._knows_enough():
+        while not self._has_routing_state():
             self.view.wait(500.0)
-        self._follow_limits()
-        self.callers.start()
+        self._apply_limits()
+        self.caller_server.start()
         self.is_ready = True
         log_event("daemon-ready", boot_id=self.leadership.boot_id)
         while True:
             self.view.wait(60_000.0)
-            self._follow_limits()
+            self._apply_limits()
 
-    def _knows_enough(self):
+    def _has_routing_state(self):
         manifest = self.view.manifest
         if manifest is None or not self.follower.is_synced:
             return False
         divided = [name for name, s in manifest.services.items() if s.divided]
         return all(name in self.view.tables for name in divided)
 
-    def _follow_limits(self):
+    def _apply_limits(self):
         limits = self.view.manifest.limits
-        self.callers.limits = Limits(
+        self.caller_server.limits = Limits(
             header_line_bytes=min(limits.header_bytes, 65_536),
             header_block_bytes=limits.header_bytes,
-            header_count=HEADER_LINES,
+            header_count=MAX_HEADER_LINES,
             idle_ms=int(limits.idle_timeout_ms),
             body_bytes=limits.body_bytes,
         )
@@ -327,7 +329,7 @@
             self.router.loads.forget(self.view.directory.servers)
             self.router.owners.forget_moves()
 
-    def _say_ready(self, environ, start_response):
+    def _serve_readiness(self, environ, start_response):
         if environ["PATH_INFO"] != self.ports.ready_path:
             return json_reply(start_response, 404, {})
         return json_reply(start_response, 200 if self.is_ready else 503, {})
@@ -342,12 +344,12 @@
         was_ready, self.is_ready = self.is_ready, False
         log_event("daemon-draining", was_ready=was_ready)
         gevent.spawn(self.leadership.resign)
-        self.callers.leave()
+        self.caller_server.leave()
         if was_ready:
             gevent.sleep(UNREADY_MS / 1000.0)
         end_ms = began_ms + self.settings.bounds.grace_ms - GRACE_MARGIN_MS
-        left_ms = max(LEAST_DRAIN_MS, end_ms - self.clock.now_ms())
-        drained = self.callers.drain(IDLE_ON_STOP_MS, left_ms)
+        left_ms = max(MIN_DRAIN_MS, end_ms - self.clock.now_ms())
+        drained = self.caller_server.drain(DRAIN_IDLE_MS, left_ms)
         log_event("daemon-stopped", requests_cut=drained.cut)
 
     def _metrics(self):
@@ -378,7 +380,7 @@
             lambda: self.ports.store.calls,
             "purpose",
         )
-        count("refusals", "Failed tries and refusals.", self._reasons, "reason")
+        count("refusals", "Failed tries and refusals.", self._refusal_counts, "reason")
         count("tasks.failures", "Failed rounds of a task.", task_failures, "task")
         count("log.lines_suppressed", "Log lines left out.", log_lines_suppressed)
         return metrics
@@ -386,7 +388,7 @@
     def _manifest_version(self):
         return self.view.manifest.version if self.view.manifest else 0
 
-    def _reasons(self):
+    def _refusal_counts(self):
         counts = list(self.router.counts.items())
         return {f"{service}: {why}": n for (service, why), n in counts}
 
@@ -406,8 +408,8 @@
     except AddressError as error:
         log_event("daemon-not-started", error=error)
         return EXIT_ADDRESS
-    for number in (signal.SIGTERM, signal.SIGINT):
-        gevent.signal_handler(number, daemon.stop)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        gevent.signal_handler(signum, daemon.stop)
     gevent.signal_handler(signal.SIGHUP, daemon.reload)
     daemon.run()
     return 0
