--- a/src/tarragonramp/adapters/pipelining.py
+++ b/src/tarragonramp/adapters/pipelining.py
@@ -1,4 +1,4 @@
-"""Serves requests that a caller sends one behind the other at the same time."""
+"""HTTP/1.1 pipelining: concurrent handling of the requests of one connection."""
 
 import copy
 import errno
@@ -8,54 +8,57 @@
 from gevent.event import Event
 
 from .serving import DaemonHandler, DaemonServer
-from .usage import mark_request_path
+from .usage import mark_request_work
 from .web import WebHandler
 
 __all__ = ["PipeliningServer"]
 
-MAX_UNANSWERED = 16
-"""Requests of one connection that are served at once. Load: a caller that sends
-without waiting. Harm prevented: one connection taking the memory of all others."""
+MAX_CONCURRENT_REQUESTS = 16
+"""Maximum number of requests of one connection served at once, so that a caller that
+sends without waiting for responses cannot use up the memory for other connections."""
 
 OVERLAPPING_METHODS = frozenset(("GET", "HEAD"))
 
 
 @attrs.define(eq=False)
-class _Line:
-    """The answers of one connection, in the order of their requests.
+class _Pipeline:
+    """Pipelining state of one connection; responses keep the order of their requests.
 
     Parameters
     ----------
-    last : Event
-        Set once the answer to the newest request has left.
-    unanswered : int
+    last_sent : Event
+        Set once the response to the latest request has been sent.
+    in_progress : int
+        Number of requests whose responses have not been sent.
     closing : bool
-        An answer has said that the connection closes with it.
+        Whether a response has announced that the connection closes after it.
     """
 
-    last: Event
-    unanswered: int = 0
+    last_sent: Event
+    in_progress: int = 0
     closing: bool = False
 
 
 class PipeliningHandler(DaemonHandler):
-    """Handles a connection whose requests do not wait for each other.
+    """Handles the requests of one connection concurrently.
 
-    Without it a quick request waits for the slow one before it, and its time limit
-    runs meanwhile. Only requests without a body overlap: where the next one begins is
-    known at once. Answers leave in the order of the requests.
+    Served in sequence, a quick request would wait for a slow one before it while its
+    own timeout runs. Only requests without a body overlap, because the start of the
+    next request is known immediately. Responses are sent in the order of the requests.
     """
 
-    line = None
-    ahead = None
-    left = None
-    reader = None
+    pipeline = None
+    previous_sent = None
+    sent = None
+    connection_handler = None
     _is_reading = False
 
     @property
     def busy(self):
-        """Whether a request is being read or has not been answered."""
-        return self._is_reading or (self.line is not None and self.line.unanswered > 0)
+        """Whether a request is being read or awaits its response."""
+        return self._is_reading or (
+            self.pipeline is not None and self.pipeline.in_progress > 0
+        )
 
     @busy.setter
     def busy(self, is_reading):
@@ -65,89 +68,96 @@
         """Serve the connection until it ends."""
         first = Event()
         first.set()
-        self.line = _Line(first)
+        self.pipeline = _Pipeline(first)
         super().handle()
 
     def read_requestline(self):
-        """Wait for the next request; none once an answer said that it was the last."""
-        text = super().read_requestline()
-        if self.server.leaving and self.line.unanswered:
-            # A caller that always sends before it is answered would never see an
-            # answer that closes the connection, and would be cut at the end.
-            self.line.closing = True
-        if self.line.closing:
-            # Nobody may think that it was read: its caller sends it again.
-            text = ""
-        self.busy = bool(text)
-        return text
+        """Wait for the next request; stop after a response has announced the close."""
+        request_line = super().read_requestline()
+        if self.server.shutting_down and self.pipeline.in_progress:
+            # If a caller always sends the next request before the response arrives,
+            # no response would be the last one and announce the close. Its connection
+            # would be aborted at the end of the drain.
+            self.pipeline.closing = True
+        if self.pipeline.closing:
+            # The request counts as not read, so the caller can safely resend it.
+            request_line = ""
+        self.busy = bool(request_line)
+        return request_line
 
     def handle_one_request(self):
-        """Read a request and begin to serve it."""
+        """Read a request and start serving it."""
         result = super().handle_one_request()
         if result is not True:
-            # The connection is about to be closed: not before all is answered.
-            self.line.last.wait()
+            # The connection is about to be closed: wait until all responses are sent.
+            self.pipeline.last_sent.wait()
         return result
 
     def handle_one_response(self):
-        """Serve a request beside those before it, if it can be."""
-        line = self.line
-        if not self._may_overlap():
-            line.last.wait()
+        """Serve a request concurrently with earlier ones if possible."""
+        pipeline = self.pipeline
+        if not self._can_overlap():
+            pipeline.last_sent.wait()
             super().handle_one_response()
             return
-        line.unanswered += 1
-        turn = copy.copy(self)
-        turn.reader, turn.ahead, turn.left = self, line.last, Event()
-        line.last = turn.left
+        pipeline.in_progress += 1
+        handler = copy.copy(self)
+        handler.connection_handler, handler.previous_sent, handler.sent = (
+            self,
+            pipeline.last_sent,
+            Event(),
+        )
+        pipeline.last_sent = handler.sent
         self.busy = False
-        gevent.spawn(turn.respond)
-        if line.unanswered >= MAX_UNANSWERED:
-            turn.left.wait()
+        gevent.spawn(handler.respond)
+        if pipeline.in_progress >= MAX_CONCURRENT_REQUESTS:
+            handler.sent.wait()
 
     def respond(self):
-        """Serve one request that overlaps with others."""
-        mark_request_path()
+        """Serve one request concurrently with others."""
+        mark_request_work()
         try:
             super().handle_one_response()
         finally:
-            self.line.unanswered -= 1
+            self.pipeline.in_progress -= 1
             if self.close_connection:
-                self.line.closing = True
-            self.reader.idle_since_ms = self.server.clock.now_ms()
-            self.left.set()
-            if self.line.closing and self.line.last is self.left:
-                # The reader waits for a request that is not to come.
+                self.pipeline.closing = True
+            self.connection_handler.idle_since_ms = self.server.clock.now_ms()
+            self.sent.set()
+            if self.pipeline.closing and self.pipeline.last_sent is self.sent:
+                # Wake the handler that waits for the next request.
                 self.hang_up()
 
     def finalize_headers(self):
-        """Say that the connection closes only with the answer that is the last one.
+        """Send ``Connection: close`` only with the last response.
 
-        Requests behind it count as not read, so none may be on its way to a server.
+        The caller takes later requests for unread, so none of them may have been sent
+        to a server.
         """
-        if self.left is None or self.line.last is self.left:
+        if self.sent is None or self.pipeline.last_sent is self.sent:
             super().finalize_headers()
-            self.line.closing = self.line.closing or self.close_connection
+            self.pipeline.closing = self.pipeline.closing or self.close_connection
             return
         self.close_connection = False
-        self._drop_close()
-        # Past the class below, which would close it because the server is leaving.
+        self._remove_connection_header()
+        # Bypass DaemonHandler, which would close the connection because the server is
+        # shutting down.
         WebHandler.finalize_headers(self)
 
-    def _drop_close(self):
+    def _remove_connection_header(self):
         self.response_headers = [
             item for item in self.response_headers if item[0].lower() != b"connection"
         ]
 
     def _sendall(self, data):
-        """Send a part of an answer once all answers before it have left."""
-        if self.ahead is not None:
-            self.ahead.wait()
+        """Send part of a response after all earlier responses have been sent."""
+        if self.previous_sent is not None:
+            self.previous_sent.wait()
         if not hasattr(self, "socket") or self.socket is None:
             raise ConnectionResetError(errno.ECONNRESET, "closed before the answer")
         super()._sendall(data)
 
-    def _may_overlap(self):
+    def _can_overlap(self):
         return (
             self.command in OVERLAPPING_METHODS
             and not self.content_length
@@ -158,6 +168,6 @@
 
 
 class PipeliningServer(DaemonServer):
-    """A server of callers that may send requests one behind the other."""
+    """A server whose callers may pipeline requests."""
 
     handler_class = PipeliningHandler
--- a/src/tarragonramp/adapters/serving.py
+++ b/src/tarragonramp/adapters/serving.py
@@ -1,4 +1,4 @@
-"""The web servers of a daemon: metered, and able to stop without cutting a request."""
+"""HTTP servers of a daemon with traffic metering and graceful shutdown."""
 
 import ctypes
 import socket
@@ -8,22 +8,22 @@
 import gevent
 
 from ..meters import kind_of
-from .usage import mark_request_path
+from .usage import mark_request_work
 from .web import ARRIVED_KEY, SOCKET_KEY, WebHandler, WebServer
 
-__all__ = ["DaemonServer", "Drained"]
+__all__ = ["DaemonServer", "DrainResult"]
 
-DRAIN_TICK_MS = 20
-SETTLE_MS = 20
+DRAIN_POLL_MS = 20
+HANDSHAKE_WAIT_MS = 20
 
-# A classic BPF program for a listener's segments: drop what has SYN set, pass the rest.
+# Classic BPF program for a listening socket: drops segments with SYN set.
 _SO_ATTACH_FILTER = 26
 _FLAGS_OFFSET, _SYN = 13, 0x02
 _DROP_SYN = b"".join(
     struct.pack("HBBI", *instruction)
     for instruction in (
-        (0x30, 0, 0, _FLAGS_OFFSET),  # load the byte of flags
-        (0x45, 0, 1, _SYN),  # if it has SYN, next, else skip one
+        (0x30, 0, 0, _FLAGS_OFFSET),  # load the byte with the TCP flags
+        (0x45, 0, 1, _SYN),  # if SYN is set continue, else skip one instruction
         (0x06, 0, 0, 0),  # drop
         (0x06, 0, 0, 0xFFFFFFFF),  # pass
     )
@@ -31,29 +31,29 @@
 
 
 @attrs.frozen
-class Drained:
-    """How a server stopped.
+class DrainResult:
+    """Result of draining a server.
 
     Parameters
     ----------
     cut : int
-        Requests that were still under way when the time was up.
+        Number of requests still in progress when the timeout expired.
     """
 
     cut: int
 
 
 class DaemonHandler(WebHandler):
-    """Handles one connection, and knows whether a request is under way on it."""
+    """Handles one connection and tracks whether a request is in progress on it."""
 
     busy = False
-    hung_up = False
+    receive_shut_down = False
     idle_since_ms = 0.0
     arrived_ms = 0.0
 
     def handle(self):
         """Serve the connection until it ends."""
-        self._note_idle()
+        self._mark_idle()
         self.server.connections.add(self)
         try:
             super().handle()
@@ -71,54 +71,55 @@
         """Return the WSGI environment of a request."""
         environ = super().get_environ()
         environ[ARRIVED_KEY] = self.arrived_ms
-        if self.hung_up:
-            # The end of the stream that the socket shows is of this side's making.
+        if self.receive_shut_down:
+            # The end of the stream seen on the socket was caused by this side.
             del environ[SOCKET_KEY]
         return environ
 
     def finalize_headers(self):
-        """Say that no further request is taken here, if the server is to stop."""
+        """Send ``Connection: close`` if the server is shutting down."""
         super().finalize_headers()
-        if self.server.leaving:
+        if self.server.shutting_down:
             self.close_connection = True
             self.response_headers.append((b"Connection", b"close"))
 
     def log_request(self):
-        """Count the exchange, in place of a log line."""
-        self._note_idle()
+        """Count the exchange instead of logging it."""
+        self._mark_idle()
         traffic = self.server.traffic
         if traffic is None or not self.headers:
             return
         kind = kind_of(self.command, self.path)
-        # Colon, space and line end, beside name and value.
+        # Four more bytes per header: colon, space and CRLF.
         n_received = sum(len(name) + len(value) + 4 for name, value in self.headers)
         n_received += len(self.requestline) + (self.content_length or 0)
         traffic.received(kind, n_received)
         traffic.sent(kind, self.response_length)
 
     def hang_up(self):
-        """Close the connection once all that has arrived is answered.
+        """Close the connection once all received requests are answered.
 
-        Guards against a request that reaches this machine just before the close: the
-        kernel would drop it and the caller could not know whether it ran. With only
-        the receiving side shut, what is in the socket's buffer is still read and
-        served; then the handler meets the end of the stream and closes.
+        The kernel would discard a request that arrives just before a full close, and
+        the caller could not know whether it ran. With only the receiving side shut
+        down, buffered requests are still read and served; then the handler sees the end
+        of the stream and closes the connection.
         """
-        self.hung_up = True
+        self.receive_shut_down = True
         try:
-            # Not through gevent, which would also raise an error in the waiting task.
+            # On the underlying socket: gevent's would also raise an error in the
+            # greenlet that waits for data.
             self.socket._sock.shutdown(socket.SHUT_RD)
         except (AttributeError, OSError):
-            # The handler was closing it at this very moment.
+            # The handler is closing the connection concurrently.
             return
 
-    def _note_idle(self):
+    def _mark_idle(self):
         self.busy = False
         self.idle_since_ms = self.server.clock.now_ms()
 
 
 class DaemonServer(WebServer):
-    """A web server that can drain.
+    """A WSGI server that can be drained.
 
     Parameters
     ----------
@@ -128,10 +129,10 @@
         WSGI application.
     clock : Clock
     traffic : TrafficMeter, optional
-        Counts the exchanges. Without it the server's CPU time is that of callers'
-        requests; with it, that of control.
+        Counts the exchanges of a server for control traffic. Without it, the server's
+        CPU time is accounted to callers' requests.
     **options : object
-        For :class:`WebServer`.
+        Passed to :class:`WebServer`.
     """
 
     handler_class = DaemonHandler
@@ -141,57 +142,57 @@
         self.clock = clock
         self.traffic = traffic
         self.connections = set()
-        self.leaving = False
+        self.shutting_down = False
 
     def handle(self, sock, address):
         """Serve one connection."""
         if self.traffic is None:
-            mark_request_path()
+            mark_request_work()
         super().handle(sock, address)
 
     def leave(self):
-        """Go on serving, but close each connection with its next answer."""
-        self.leaving = True
+        """Keep serving, but close each connection after its next response."""
+        self.shutting_down = True
 
     def drain(self, idle_ms, timeout_ms):
-        """Take no more connections, finish what is held, and close.
+        """Accept no more connections, finish the open ones, and close.
 
         Parameters
         ----------
         idle_ms : float
-            A connection without a request for this long is closed. Long enough for
-            busy callers to have had an answer that says "close"; a connection that
-            a caller uses at the moment of its close would cost it that request.
+            Close a connection after this time without a request. It should be long
+            enough for busy callers to receive a response with ``Connection: close``,
+            since a request sent while its connection is being closed is lost.
         timeout_ms : float
-            What is under way after this is cut.
+            Requests still in progress after this time are aborted.
 
         Returns
         -------
-        drained : Drained
+        drained : DrainResult
         """
         self.leave()
         if self.started:
             self._refuse_handshakes()
-            gevent.sleep(SETTLE_MS / 1000.0)
+            gevent.sleep(HANDSHAKE_WAIT_MS / 1000.0)
             self._accept_queued()
         self.close()
         until_ms = self.clock.now_ms() + timeout_ms
         while self.connections and self.clock.now_ms() < until_ms:
-            before_ms = self.clock.now_ms() - idle_ms
+            idle_before_ms = self.clock.now_ms() - idle_ms
             for handler in list(self.connections):
-                if not handler.busy and handler.idle_since_ms <= before_ms:
+                if not handler.busy and handler.idle_since_ms <= idle_before_ms:
                     handler.hang_up()
-            gevent.sleep(DRAIN_TICK_MS / 1000.0)
-        return Drained(sum(handler.busy for handler in self.connections))
+            gevent.sleep(DRAIN_POLL_MS / 1000.0)
+        return DrainResult(sum(handler.busy for handler in self.connections))
 
     def _refuse_handshakes(self):
-        """Let no further connection begin at this listener.
+        """Drop new connection attempts (SYN segments) at this listener.
 
-        Guards against connections that are made between the last accept and the
-        close: the kernel resets them, and a caller that has already sent a claim
-        cannot know whether it ran. A dropped SYN costs its caller a second, the time
-        until it is sent again; by then it finds another listener on the port, or is
-        refused and knows that nothing ran. Handshakes under way are finished.
+        The kernel resets connections established between the last accept and the close,
+        and a caller that has already sent a request cannot know whether it ran. A
+        dropped SYN is retransmitted after a second; by then the caller reaches another
+        listener on the port, or is refused and knows that nothing ran. Handshakes in
+        progress are completed.
         """
         program = ctypes.create_string_buffer(_DROP_SYN, len(_DROP_SYN))
         size = len(_DROP_SYN) // struct.calcsize("HBBI")
@@ -199,10 +200,10 @@
         self.socket.setsockopt(socket.SOL_SOCKET, _SO_ATTACH_FILTER, filter_)
 
     def _accept_queued(self):
-        """Accept the connections that wait in the listener's queue.
+        """Accept all connections in the listener's backlog.
 
-        Guards against their loss: the kernel resets what is queued at a listener
-        that closes, also if other processes listen on the same port.
+        When a listener is closed, the kernel resets the connections queued at it, even
+        if other processes listen on the same port.
         """
         while True:
             accepted = self.do_read()
--- a/src/tarragonramp/adapters/usage.py
+++ b/src/tarragonramp/adapters/usage.py
@@ -1,4 +1,4 @@
-"""What this process uses: CPU time by kind of work, and memory."""
+"""Resource usage of this process: CPU time by kind of work, memory, pauses."""
 
 import os
 import time
@@ -7,17 +7,17 @@
 import gevent
 import greenlet
 
-__all__ = ["CpuMeter", "LoopWatch", "mark_request_path", "resident_bytes"]
+__all__ = ["CpuMeter", "LoopWatch", "mark_request_work", "resident_bytes"]
 
-PATH_MARK = "on_request_path"
+REQUEST_MARK = "on_request_path"
 LOOP_CHECK_MS = 100
 LOOP_BLOCKED_MS = 200
 PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
 
 
-def mark_request_path():
-    """Charge this greenlet, and all it starts, to callers' requests."""
-    gevent.getcurrent().spawn_tree_locals[PATH_MARK] = True
+def mark_request_work():
+    """Account this greenlet, and all greenlets it spawns, to callers' requests."""
+    gevent.getcurrent().spawn_tree_locals[REQUEST_MARK] = True
 
 
 def resident_bytes():
@@ -28,12 +28,12 @@
 
 @attrs.define(eq=False, repr=False)
 class CpuMeter:
-    """Splits this process's CPU time between callers' requests and control.
+    """Splits this process's CPU time between callers' requests and control work.
 
-    The thread's CPU clock is read whenever the next greenlet to run is of the other
-    kind than the last one; the hub belongs to whichever ran last. So a switch between
-    two requests costs a test, and no clock is read. CPU time of other threads is that
-    of gRPC, which carries control only.
+    The thread's CPU clock is read only at switches between greenlets of different
+    kinds; the hub counts as the kind that ran last. A switch between two requests
+    therefore reads no clock. Other threads belong to gRPC, which carries control
+    traffic only.
 
     Parameters
     ----------
@@ -42,86 +42,89 @@
     """
 
     request_ms: float = 0.0
-    _on_path: bool = False
+    _on_request: bool = False
     _since_s: float = 0.0
 
     def start(self):
-        """Begin to meter; at most one meter a process."""
+        """Start metering; a process can run only one meter."""
         self._since_s = time.thread_time()
         hub = gevent.get_hub()
 
-        def note_switch(event, greenlets):
+        def trace_switch(event, greenlets):
             target = greenlets[1]
             if target is hub:
                 return
-            # An error in here would end the tracing without a word.
-            on_path = PATH_MARK in (getattr(target, "spawn_tree_locals", None) or ())
-            if on_path is not self._on_path:
-                self._turn(on_path)
+            # An exception raised here would silently disable the tracing.
+            on_request = REQUEST_MARK in (
+                getattr(target, "spawn_tree_locals", None) or ()
+            )
+            if on_request is not self._on_request:
+                self._switch(on_request)
 
-        greenlet.settrace(note_switch)
+        greenlet.settrace(trace_switch)
 
     def stop(self):
-        """Meter no longer."""
+        """Stop metering."""
         greenlet.settrace(None)
 
     def control_ms(self):
-        """Return the CPU time, in milliseconds, of all but callers' requests."""
-        self._turn(self._on_path)
+        """Return the CPU time in milliseconds of everything but callers' requests."""
+        self._switch(self._on_request)
         return time.process_time() * 1000.0 - self.request_ms
 
-    def _turn(self, on_path):
+    def _switch(self, on_request):
         now_s = time.thread_time()
-        if self._on_path:
+        if self._on_request:
             self.request_ms += (now_s - self._since_s) * 1000.0
         self._since_s = now_s
-        self._on_path = on_path
+        self._on_request = on_request
 
 
 @attrs.define(eq=False, repr=False)
 class LoopWatch:
-    """Notices when the event loop stood still.
+    """Detects when the event loop was blocked.
 
-    A call that blocks, a long computation or a paused VM stops every task at once:
-    grants are not renewed and callers wait, with nothing in any log. A timer that
-    fires late shows it, after the fact and for next to nothing.
+    A blocking call, a long computation or a paused VM stops all tasks at once: grants
+    are not renewed and callers wait, without any log line. A timer that fires late
+    shows it afterwards at almost no cost.
 
     Parameters
     ----------
     on_block : callable
-        ``on_block(blocked_ms, cpu_ms)``: how long the loop stood still at least, and
-        the CPU time that this thread spent meanwhile. With little of it, the process
-        was paused or waited in a call; with much, it computed.
+        ``on_block(blocked_ms, cpu_ms)``: the minimum time for which the loop was
+        blocked, and the CPU time of this thread during it. Little CPU time means that
+        the process was paused or waited in a call, much that it was computing.
     count : int
-        How often it stood still.
+        Number of times the loop was blocked.
     longest_ms : float
+        Longest time it was blocked.
     """
 
     on_block: object
     count: int = 0
     longest_ms: float = 0.0
-    _total_ms: float = 0.0
-    _began_s: float | None = None
+    _paused_ms: float = 0.0
+    _sleep_began_s: float | None = None
 
     def stood_still_ms(self):
-        """Return for how long the loop has stood still in all, until now."""
+        """Return the total time for which the loop has been blocked, until now."""
         late_ms = self._late_ms()
-        return self._total_ms + (late_ms if late_ms >= LOOP_BLOCKED_MS else 0.0)
+        return self._paused_ms + (late_ms if late_ms >= LOOP_BLOCKED_MS else 0.0)
 
     def _late_ms(self):
-        if self._began_s is None:
+        if self._sleep_began_s is None:
             return 0.0
-        return (time.monotonic() - self._began_s) * 1000.0 - LOOP_CHECK_MS
+        return (time.monotonic() - self._sleep_began_s) * 1000.0 - LOOP_CHECK_MS
 
     def run(self):
-        """Watch, for ever."""
+        """Check the event loop forever."""
         while True:
-            self._began_s, cpu_s = time.monotonic(), time.thread_time()
+            self._sleep_began_s, cpu_s = time.monotonic(), time.thread_time()
             gevent.sleep(LOOP_CHECK_MS / 1000.0)
             late_ms = self._late_ms()
             if late_ms < LOOP_BLOCKED_MS:
                 continue
-            self._total_ms += late_ms
+            self._paused_ms += late_ms
             self.count += 1
             self.longest_ms = max(self.longest_ms, late_ms)
             self.on_block(late_ms, (time.thread_time() - cpu_s) * 1000.0)
--- a/src/tarragonramp/adapters/web.py
+++ b/src/tarragonramp/adapters/web.py
@@ -1,4 +1,4 @@
-"""gevent's WSGI server, made strict about framing and prompt with small answers."""
+"""gevent's WSGI server with strict HTTP framing and low latency for small responses."""
 
 import json
 import re
@@ -29,9 +29,9 @@
 
 BACKLOG = 1024
 
-# The library's own waits for the loop; this one only looks.
-_poll = monkey.get_original("select", "poll")
-_GONE = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+# gevent's poll switches greenlets; the original one only reads the state.
+_original_poll = monkey.get_original("select", "poll")
+_DISCONNECT_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 REASONS = {
     200: "200 OK",
     201: "201 Created",
@@ -54,19 +54,19 @@
 BODILESS_STATUSES = frozenset((204, 304))
 METHODS = frozenset(("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"))
 
-# Larger bodies are not copied behind their headers.
-JOINED_BYTES = 16_384
+# Bodies up to this size are sent in one segment with their headers.
+MAX_JOINED_BYTES = 16_384
 
-# Beside the usual WSGI keys: header lines as (lower-case name, value) in the caller's
-# order, the request target as it was sent, the caller's socket, and when the request
-# arrived (milliseconds on the server's clock; only of servers that have one).
+# Keys added to the WSGI environment: header fields as (lower-case name, value) in the
+# caller's order, the request target as sent, the caller's socket, and the arrival time
+# (milliseconds on the server's clock; only set by servers that have a clock).
 HEADERS_KEY = "tarragon.headers"
 TARGET_KEY = "tarragon.target"
 SOCKET_KEY = "tarragon.socket"
 ARRIVED_KEY = "tarragon.arrived_ms"
 
-# An unread body is read this far before the connection is closed, since a close with
-# bytes unread resets the connection and can take the answer with it.
+# Up to this much of an unread body is read and discarded before the connection is
+# closed: closing with unread bytes resets the connection, and the response may be lost.
 DISCARD_BYTES = 4 << 20
 DISCARD_S = 1.0
 
@@ -93,7 +93,7 @@
 
 
 class BoundedInput(Input):
-    """A request body of which little is read once nobody wants it."""
+    """A request body that limits how much unread data is discarded."""
 
     __slots__ = ("handler",)
 
@@ -102,52 +102,53 @@
         self.handler = handler
 
     def _discard(self):
-        """Read what is left within bounds; the connection survives only a clean end.
+        """Discard the rest of the body, within limits of size and time.
 
-        Guards against a caller that declares a huge body, or sends one without an
-        end, and so holds the connection's task for ever.
+        The connection stays open only if the end of the body was reached. Without the
+        limits, a caller with a huge or endless body would occupy the connection's
+        greenlet forever.
         """
-        if self._at_end():
+        if self._is_exhausted():
             return
-        keeps_open = not self.handler.close_connection
+        was_persistent = not self.handler.close_connection
         self.handler.close_connection = True
         if self.socket is not None or self._chunked_input_error:
-            # The caller still waits for "100 Continue" and may never send the body,
-            # or sent one that cannot be followed any further.
+            # The caller still waits for "100 Continue" and may never send the body, or
+            # the chunked body is malformed.
             return
         self.send_100_continue_enabled = False
-        left = DISCARD_BYTES
+        remaining = DISCARD_BYTES
         try:
             with gevent.Timeout(DISCARD_S, False):
-                while left > 0:
+                while remaining > 0:
                     data = self.read(16_384)
                     if not data:
                         break
-                    left -= len(data)
+                    remaining -= len(data)
         except (OSError, ValueError):
             return
-        if keeps_open and self._at_end():
+        if was_persistent and self._is_exhausted():
             self.handler.close_connection = False
 
-    def _at_end(self):
+    def _is_exhausted(self):
         if self.chunked_input:
             return self.chunk_length == 0 and not self._chunked_input_error
         return self.position >= (self.content_length or 0)
 
 
 class WebHandler(WSGIHandler):
-    """Handles the requests of one connection.
+    """Handles the requests of one connection, with a strict request parser.
 
-    The library's own reading of a request head is lenient: it takes the last of two
-    lengths, lets a transfer coding override a length, and folds lines. A balancer
-    before us or a server behind us may then see other request boundaries, and one
-    caller's bytes become another's request. So each line is checked here first.
+    gevent's parser is lenient: it uses the last of two lengths, lets a transfer coding
+    override a length, and folds lines. A load balancer in front or a backend server
+    behind may then see other request boundaries, which allows request smuggling. Each
+    line is therefore validated here first.
     """
 
     headers = ()
 
     def read_request(self, raw_requestline):
-        """Check the request line and headers and take over what frames the body.
+        """Parse and validate the request line and headers, and set the body's framing.
 
         Raises
         ------
@@ -171,12 +172,12 @@
         return True
 
     def read_requestline(self):
-        """Return the request line; without its end if it is too long."""
+        """Return the request line, truncated if it exceeds the limit."""
         limit = self.server.limits.request_line_bytes
         return self.rfile.readline(limit).decode("latin-1")
 
     def get_environ(self):
-        """Return the WSGI environment of a request whose head has been checked."""
+        """Return the WSGI environment of a request whose head has been validated."""
         environ = self.server.get_environ()
         path, _, query = self.path.partition("?")
         environ["REQUEST_METHOD"] = self.command
@@ -194,10 +195,10 @@
             if key in environ:
                 value = f"{environ[key]}{'; ' if name == 'cookie' else ','}{value}"
             environ[key] = value
-        waits = environ.get("HTTP_EXPECT", "").lower() == "100-continue"
+        expects_continue = environ.get("HTTP_EXPECT", "").lower() == "100-continue"
         self.wsgi_input = BoundedInput(
             self,
-            socket=self.socket if waits else None,
+            socket=self.socket if expects_continue else None,
             chunked_input="HTTP_TRANSFER_ENCODING" in environ,
         )
         environ["wsgi.input"] = self.wsgi_input
@@ -205,17 +206,17 @@
         return environ
 
     def finalize_headers(self):
-        """Add a length where none is given, but not to an answer without a body."""
+        """Add a missing ``Content-Length``, but not to a response without a body."""
         if self.command == "HEAD" and self.provided_content_length is None:
-            # The library would say 0, which is false for most resources.
+            # gevent would set 0, which is wrong for most resources.
             self.provided_content_length = ""
         super().finalize_headers()
 
     def _write_with_headers(self, data):
         """Send headers and a small body as one segment.
 
-        The library sends them one after the other, which costs a system call here
-        and wakes the peer twice.
+        gevent sends them separately, which costs an additional system call and wakes
+        the peer twice.
         """
         self.headers_sent = True
         self.finalize_headers()
@@ -223,7 +224,7 @@
         for name, value in self.response_headers:
             parts += (name, b": ", value, b"\r\n")
         parts.append(b"\r\n")
-        if self.response_use_chunked or len(data) > JOINED_BYTES:
+        if self.response_use_chunked or len(data) > MAX_JOINED_BYTES:
             self._sendall(b"".join(parts))
             self._write(data)
             return
@@ -231,7 +232,7 @@
         self._sendall(b"".join(parts))
 
     def log_request(self):
-        """Leave logging to the application."""
+        """Do nothing: the application does the logging."""
 
     def _handle_client_error(self, ex):
         if isinstance(ex, TimeoutError):
@@ -250,14 +251,14 @@
 
     def _read_headers(self):
         limits = self.server.limits
-        left = limits.header_block_bytes
+        remaining = limits.header_block_bytes
         headers = []
         while True:
-            line = self.rfile.readline(min(limits.header_line_bytes, left) + 1)
+            line = self.rfile.readline(min(limits.header_line_bytes, remaining) + 1)
             if line == b"\r\n":
                 return headers
-            left -= len(line)
-            if left < 0 or len(line) > limits.header_line_bytes:
+            remaining -= len(line)
+            if remaining < 0 or len(line) > limits.header_line_bytes:
                 raise RequestError(431, NOT_RUN, "headers longer than the limit")
             if len(headers) >= limits.header_count:
                 raise RequestError(431, NOT_RUN, "more headers than the limit")
@@ -266,7 +267,7 @@
                 raise RequestError(400, NOT_RUN, "malformed header")
             name, value = match.groups()
             if "_" in name:
-                # It would share its WSGI key with the name that has dashes.
+                # Its WSGI key would be the same as that of the name with dashes.
                 continue
             headers.append((name.lower(), value.strip(" \t")))
 
@@ -298,8 +299,8 @@
 class WebServer(WSGIServer):
     """A WSGI server that sets TCP_NODELAY on each accepted connection.
 
-    Headers and body of a reply leave as two segments; with Nagle's algorithm the
-    second waits for the peer's delayed ACK, some 40 ms.
+    If headers and body of a response are sent as two segments, Nagle's algorithm holds
+    the second one until the peer's delayed ACK arrives, after about 40 ms.
 
     Parameters
     ----------
@@ -308,9 +309,9 @@
     application : callable
         WSGI application.
     reuse_port : bool, default=False
-        Let several processes of this VM share the port.
+        Allow several processes on this VM to share the port (SO_REUSEPORT).
     limits : Limits, optional
-        Bounds on a request's head, and on how long a connection may be idle.
+        Limits of a request's head and of the idle time of a connection.
     """
 
     handler_class = WebHandler
@@ -330,10 +331,10 @@
         super().__init__(listener, application, log=None, error_log=None)
 
     def init_socket(self):
-        """Listen, when the server starts.
+        """Start listening, when the server starts.
 
-        Not earlier: the kernel gives a listener that shares its port a share of the
-        connections, and they would wait until somebody accepts them.
+        The kernel distributes connections among all listeners that share a port. Those
+        assigned to a listener before its server runs would wait until it accepts them.
         """
         try:
             self.socket.listen(BACKLOG)
@@ -349,28 +350,28 @@
 
 
 def caller_is_gone(environ):
-    """Tell whether the caller of a request has closed its side of the connection.
+    """Return whether the caller of a request has closed its side of the connection.
 
     Parameters
     ----------
     environ : dict
-        Of a request that :class:`WebServer` took.
+        WSGI environment made by :class:`WebServer`.
     """
     sock = environ.get(SOCKET_KEY)
     if sock is None:
         return False
-    # Asked for its state and not for its bytes: a caller may have sent a further
-    # request behind this one and then gone, and only reading past it would show that.
-    poll = _poll()
+    # Polls the state of the socket instead of peeking at its bytes: a caller may have
+    # sent another request before it closed, and only reading past that would show EOF.
+    poll = _original_poll()
     try:
-        poll.register(sock.fileno(), _GONE)
+        poll.register(sock.fileno(), _DISCONNECT_EVENTS)
     except (OSError, ValueError):
         return True
     return bool(poll.poll(0))
 
 
 def read_body(environ, limit_bytes, patience_ms):
-    """Return the whole body of a request, within a limit and a time.
+    """Read the complete body of a request, within a size limit and a timeout.
 
     Parameters
     ----------
@@ -402,14 +403,14 @@
 
 
 def json_reply(start_response, status, payload):
-    """Answer a WSGI request with JSON.
+    """Respond to a WSGI request with JSON.
 
     Parameters
     ----------
     start_response : callable
     status : int
     payload : object
-        Anything JSON can hold.
+        JSON-serializable data.
 
     Returns
     -------
@@ -424,42 +425,42 @@
     return [body]
 
 
-def answer_reply(start_response, method, answer, headers):
-    """Answer a WSGI request with a server's answer.
+def answer_reply(start_response, method, response, headers):
+    """Respond to a WSGI request with a backend server's response.
 
     Parameters
     ----------
     start_response : callable
     method : str
-        Of the request.
-    answer : Answer
+        Method of the request.
+    response : Response
     headers : list of (str, str)
-        Those of the answer that go on, without its length.
+        Headers to forward, without ``Content-Length``.
 
     Returns
     -------
     body : list of bytes
     """
-    if answer.status not in BODILESS_STATUSES:
-        length = len(answer.body)
+    if response.status not in BODILESS_STATUSES:
+        length = len(response.body)
         if method == "HEAD":
-            length = answer.header("Content-Length", None)
+            length = response.header("Content-Length", None)
         if length is not None:
             headers = [*headers, ("Content-Length", str(length))]
-    reason = REASONS.get(answer.status, f"{answer.status} Status")
+    reason = REASONS.get(response.status, f"{response.status} Status")
     start_response(reason, headers)
-    return [answer.body]
+    return [response.body]
 
 
 def error_reply(start_response, error, headers=()):
-    """Answer a WSGI request with a refusal.
+    """Respond to a WSGI request with an error.
 
     Parameters
     ----------
     start_response : callable
     error : RequestError
     headers : iterable of (str, str)
-        Beside those that every refusal has.
+        Headers in addition to those of every error response.
 
     Returns
     -------
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -9,7 +9,7 @@
 from standins.site import Backend, DaemonSpec, Site
 from tarragonramp.adapters.http import HttpPool
 from tarragonramp.adapters.metrics import Metrics
-from tarragonramp.adapters.usage import CpuMeter, mark_request_path
+from tarragonramp.adapters.usage import CpuMeter, mark_request_work
 from tarragonramp.meters import RequestMeter, TrafficMeter, kind_of
 
 
@@ -74,7 +74,7 @@
         self.addCleanup(meter.stop)
         before_ms = meter.control_ms()
         request = gevent.spawn(self._request)
-        control = gevent.spawn(self._burn, 0.05)
+        control = gevent.spawn(self._use_cpu, 0.05)
         gevent.joinall([request, control], raise_error=True)
         self.assertGreaterEqual(meter.request_ms, 200.0)
         self.assertGreaterEqual(meter.control_ms() - before_ms, 50.0)
@@ -83,20 +83,20 @@
         self.assertLess(meter.control_ms() - before_ms, 200.0)
 
     def _request(self):
-        mark_request_path()
-        child = gevent.spawn(self._burn, 0.1)
-        self._burn(0.1)
+        mark_request_work()
+        child = gevent.spawn(self._use_cpu, 0.1)
+        self._use_cpu(0.1)
         child.join()
 
-    def _burn(self, cpu_s):
+    def _use_cpu(self, cpu_s):
         until_s = time.thread_time() + cpu_s
         while time.thread_time() < until_s:
             began_s = time.thread_time()
             while time.thread_time() < began_s + 0.001:
                 pass
-            burnt_s = time.thread_time()
+            paused_s = time.thread_time()
             gevent.sleep(0)
-            until_s += time.thread_time() - burnt_s
+            until_s += time.thread_time() - paused_s
 
 
 class PageTest(unittest.TestCase):
