--- a/src/tarragonramp/adapters/logs.py
+++ b/src/tarragonramp/adapters/logs.py
@@ -1,4 +1,4 @@
-"""Log lines of key=value pairs, one an event, also for what libraries say."""
+"""Logging as lines of key=value pairs, one per event, also for library messages."""
 
 import json
 import logging
@@ -17,36 +17,36 @@
 __all__ = ["LogLimiter", "log_event", "log_lines_suppressed", "set_up_logs"]
 
 MAX_VALUE_CHARACTERS = 2000
-OVERALL = "*"
+ALL_EVENTS = "*"
 
-LINE_BYTES = select.PIPE_BUF
-"""Longest line: a pipe that can be written to at all takes as much in one piece."""
+MAX_LINE_BYTES = select.PIPE_BUF
+"""Longest line. Writes to a pipe up to this size are atomic: a pipe that is writable
+takes the whole line at once."""
 
 _LOGGER = logbook.Logger("tarragonramp")
-# gevent's own would let other tasks run in the middle of a decision that is logged.
-_Poll = monkey.get_original("select", "poll")
+# gevent's poll would switch to other greenlets in the middle of the code that logs.
+_original_poll = monkey.get_original("select", "poll")
 
 
 @attrs.define
 class LogLimiter:
-    """Bounds how many lines are written, by event and in all.
+    """Token-bucket rate limiter for log lines, per event and overall.
 
-    Load: a fault that strikes each request or each round of a role, thousands of times
-    a second. Harm prevented: lines cost some 30 us each and block on a slow reader, so
-    a storm of them would take the time of the requests that still could be served.
-    Reason for the limits: a burst shows how a fault begins, and a few lines a second
-    that it goes on; how many there were is told by the next line.
+    A line costs about 30 us and may block on a slow reader, so a fault that affects
+    every request could use up the time of requests that can still be served. The burst
+    shows how a fault begins and a few lines per second show that it persists; the next
+    line written gives the number of suppressed ones.
 
     Parameters
     ----------
     burst, per_second : float
-        Of one event.
+        Limits for each event.
     overall_burst, overall_per_second : float
-        Of all events together.
+        Limits for all events together.
     suppressed : dict of str to int
-        Lines not written, by event, since the last one that was.
+        Lines suppressed since the last one written, by event.
     total : int
-        Lines not written since the start.
+        Lines suppressed since the start.
     """
 
     burst: float = 40
@@ -58,26 +58,27 @@
     _tokens: dict = attrs.Factory(dict)
 
     def admit(self, event, now_ms):
-        """Decide on one line.
+        """Decide whether to write a line.
 
         Returns
         -------
         n_suppressed : int or None
-            How many of its kind were left out before it; None if it is to be, too.
+            Number of lines of this event suppressed before it; None if this line is to
+            be suppressed as well.
         """
-        mine = self._refilled(event, self.burst, self.per_second, now_ms)
-        every = self._refilled(
-            OVERALL, self.overall_burst, self.overall_per_second, now_ms
+        event_tokens = self._refill(event, self.burst, self.per_second, now_ms)
+        overall_tokens = self._refill(
+            ALL_EVENTS, self.overall_burst, self.overall_per_second, now_ms
         )
-        if mine < 1 or every < 1:
+        if event_tokens < 1 or overall_tokens < 1:
             self.total += 1
             self.suppressed[event] = self.suppressed.get(event, 0) + 1
             return None
-        self._tokens[event] = (mine - 1, now_ms)
-        self._tokens[OVERALL] = (every - 1, now_ms)
+        self._tokens[event] = (event_tokens - 1, now_ms)
+        self._tokens[ALL_EVENTS] = (overall_tokens - 1, now_ms)
         return self.suppressed.pop(event, 0)
 
-    def _refilled(self, name, burst, per_second, now_ms):
+    def _refill(self, name, burst, per_second, now_ms):
         tokens, at_ms = self._tokens.get(name, (burst, now_ms))
         tokens = min(burst, tokens + (now_ms - at_ms) * per_second / 1000.0)
         self._tokens[name] = (tokens, now_ms)
@@ -88,65 +89,65 @@
 
 
 class _LineHandler(logbook.StreamHandler):
-    """Writes one line a record, whoever made it."""
+    """Writes each record as one line."""
 
     def __init__(self, name, stream, level):
         super().__init__(stream, level=level)
         self._name = name
 
     def emit(self, record):
-        """Write the line, unless there are too many of its kind."""
+        """Write the record unless the rate limiter suppresses it."""
         event = record.extra.get("event") or f"library-{record.channel}"
         n_suppressed = _LIMITER.admit(event, time.monotonic() * 1000.0)
         if n_suppressed is None:
             return
         line = (
             f"time={record.time:%Y-%m-%dT%H:%M:%S.%f}Z"
-            f" level={record.level_name.lower()} daemon={self._name} {_text(record)}"
+            f" level={record.level_name.lower()} daemon={self._name} {_text_of(record)}"
         )
         if n_suppressed:
             line += f" suppressed={n_suppressed}"
-        if not self._write(line.encode()[: LINE_BYTES - 1] + b"\n"):
+        if not self._write(line.encode()[: MAX_LINE_BYTES - 1] + b"\n"):
             _LIMITER.total += 1
 
     def _write(self, data):
-        """Write a line, unless that would wait or nobody reads; tell whether it did.
+        """Write a line without blocking; return whether it was written.
 
-        Guards against a reader that stalls: a full pipe would hold up the process, and
-        with it all callers, until somebody reads the log again.
+        If the reader of the log stalls, a blocking write to the full pipe would stop
+        the process, and all callers with it, until the log is read again.
         """
         try:
-            number = self.stream.fileno()
+            descriptor = self.stream.fileno()
         except (OSError, ValueError):
             self.stream.write(data.decode("utf-8", "replace"))
             return True
         try:
-            poll = _Poll()
-            poll.register(number, select.POLLOUT)
+            poll = _original_poll()
+            poll.register(descriptor, select.POLLOUT)
             if not poll.poll(0):
                 return False
-            return os.write(number, data) == len(data)
+            return os.write(descriptor, data) == len(data)
         except OSError:
             return False
 
 
 def set_up_logs(name="", level="info", stream=sys.stderr):
-    """Send all that this process logs to a stream, one line an event.
+    """Send all log output of this process to a stream, one line per event.
 
-    What libraries log, warn of or print about uncaught errors is brought into the
-    same form, so that a reader of key=value lines meets nothing else.
+    Library log messages, warnings and uncaught exceptions are written in the same form,
+    so that the log consists of key=value lines only.
 
     Parameters
     ----------
     name : str, default=""
-        The daemon's.
+        Name of the daemon.
     level : {"debug", "info", "warning", "error"}, default="info"
     stream : file object, default=sys.stderr
 
     Returns
     -------
     handler : logbook.Handler
-        Pop it to write no more there.
+        Its ``pop_application`` stops logging to the stream.
     """
     handler = _LineHandler(name, stream, level.upper())
     handler.push_application()
@@ -155,19 +156,22 @@
     logging.captureWarnings(True)
     gevent.get_hub().print_exception = _log_uncaught
     sys.excepthook = lambda kind, error, trace: _log_uncaught(None, kind, error, trace)
-    sys.unraisablehook = lambda found: _log_uncaught(
-        found.object, found.exc_type, found.exc_value, found.exc_traceback
+    sys.unraisablehook = lambda unraisable: _log_uncaught(
+        unraisable.object,
+        unraisable.exc_type,
+        unraisable.exc_value,
+        unraisable.exc_traceback,
     )
     return handler
 
 
 def log_event(event, level=logbook.INFO, **fields):
-    """Write one event.
+    """Log one event.
 
     Parameters
     ----------
     event : str
-        What happened, in kebab case.
+        Name of the event in kebab case.
     level : int, default=logbook.INFO
     **fields : object
         Logged as ``key=value``; values with spaces are quoted. An exception with a
@@ -175,14 +179,14 @@
     """
     error = fields.get("error")
     if isinstance(error, BaseException) and error.__traceback__ is not None:
-        fields["trace"] = _trace(type(error), error, error.__traceback__)
-    pairs = " ".join(f"{key}={_quoted(value)}" for key, value in fields.items())
+        fields["trace"] = _format_trace(type(error), error, error.__traceback__)
+    pairs = " ".join(f"{key}={_quote(value)}" for key, value in fields.items())
     line = f"event={event} {pairs}".rstrip()
     _LOGGER.log(level, "{}", line, extra={"event": event})
 
 
 def log_lines_suppressed():
-    """Return how many lines were left out since the start."""
+    """Return the number of log lines suppressed since the start."""
     return _LIMITER.total
 
 
@@ -194,28 +198,28 @@
         context=name,
         kind=kind.__name__,
         message=error,
-        trace=_trace(kind, error, trace),
+        trace=_format_trace(kind, error, trace),
     )
 
 
-def _trace(kind, error, trace):
+def _format_trace(kind, error, trace):
     return "".join(traceback.format_exception(kind, error, trace))
 
 
-def _text(record):
+def _text_of(record):
     if "event" in record.extra:
         return record.message
     text = f"event=library-message library={record.channel}"
-    text += f" message={_quoted(record.message)}"
+    text += f" message={_quote(record.message)}"
     if record.formatted_exception:
-        text += f" trace={_quoted(record.formatted_exception)}"
+        text += f" trace={_quote(record.formatted_exception)}"
     return text
 
 
-def _quoted(value):
+def _quote(value):
     text = str(value)
     if len(text) > MAX_VALUE_CHARACTERS:
-        # The end of a traceback says more than its beginning.
+        # Keep the end: that of a traceback is more informative than its beginning.
         text = f"...{text[-MAX_VALUE_CHARACTERS:]}"
     plain = text and all(c.isprintable() and c not in ' "=' for c in text)
     return text if plain else json.dumps(text)
--- a/src/tarragonramp/adapters/metrics.py
+++ b/src/tarragonramp/adapters/metrics.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry metrics of a daemon, and the page that a scraper reads."""
+"""OpenTelemetry metrics of a daemon in the Prometheus text format."""
 
 import time
 
@@ -27,10 +27,10 @@
 
 
 class _Reader(PrometheusMetricReader):
-    """Adds histograms that were counted elsewhere to those of the instruments.
+    """Adds histograms that are maintained outside of the library's instruments.
 
-    Recording into the library's own histogram costs some 13 us; three times a
-    request that is a tenth of what a request costs in all.
+    Recording a value in the library's own histogram costs about 13 us. Each request
+    records three values, which would be a tenth of its total cost.
     """
 
     def __init__(self, registry, histograms):
@@ -53,7 +53,7 @@
     Parameters
     ----------
     name : str
-        The daemon's, a label of every metric.
+        Name of the daemon, a label of every metric.
     requests : RequestMeter
     traffic : TrafficMeter
     cpu : CpuMeter
@@ -62,7 +62,7 @@
     def __init__(self, name, requests, traffic, cpu):
         self._name = name
         self._requests = requests
-        self._began_ns = time.time_ns()
+        self._started_ns = time.time_ns()
         self._registry = CollectorRegistry()
         reader = _Reader(self._registry, self._histograms)
         provider = MeterProvider([reader], resource=Resource.get_empty())
@@ -78,32 +78,32 @@
         self.add_gauge("memory.resident", "Resident memory.", resident_bytes, unit="By")
 
     def add_gauge(self, name, description, read, label="", unit=""):
-        """Export a value that may go up and down.
+        """Export a gauge.
 
         Parameters
         ----------
         name, description : str
         read : callable
-            Returns the value; with a label, a dict of the label's value to it.
+            Returns the value; with a label, a dict from label value to metric value.
         label : str, optional
         unit : str, optional
-            As OpenTelemetry abbreviates it.
+            OpenTelemetry's abbreviation of the unit.
         """
         self._meter.create_observable_gauge(
-            f"{SCOPE}.{name}", [self._observer(read, label)], unit, description
+            f"{SCOPE}.{name}", [self._callback(read, label)], unit, description
         )
 
     def add_counter(self, name, description, read, label="", unit=""):
-        """Export a value that only grows; parameters as for :meth:`add_gauge`."""
+        """Export a monotonic counter; parameters as for :meth:`add_gauge`."""
         self._meter.create_observable_counter(
-            f"{SCOPE}.{name}", [self._observer(read, label)], unit, description
+            f"{SCOPE}.{name}", [self._callback(read, label)], unit, description
         )
 
     def page(self):
-        """Return the scraper's page as bytes, and its content type."""
+        """Return the metrics page for the scraper as bytes, and its content type."""
         return generate_latest(self._registry), CONTENT_TYPE_LATEST
 
-    def _observer(self, read, label):
+    def _callback(self, read, label):
         def observe(options):
             if not label:
                 return [Observation(read(), {"daemon": self._name})]
@@ -115,7 +115,7 @@
         return observe
 
     def _add_requests(self, requests):
-        def finished(options):
+        def observe_requests(options):
             return [
                 Observation(
                     counts.total.count,
@@ -125,20 +125,21 @@
             ]
 
         self._meter.create_observable_counter(
-            f"{SCOPE}.requests", [finished], "", "Callers' requests by outcome."
+            f"{SCOPE}.requests", [observe_requests], "", "Callers' requests by outcome."
         )
         self.add_gauge(
             "requests.in_flight", "Requests under way.", lambda: requests.in_flight
         )
 
     def _add_traffic(self, traffic):
-        def observer(counts):
+        def make_callback(counts):
             def observe(options):
                 return [
                     Observation(
-                        value, {"daemon": self._name, "kind": kind, "direction": way}
+                        value,
+                        {"daemon": self._name, "kind": kind, "direction": direction},
                     )
-                    for (kind, way), value in counts.items()
+                    for (kind, direction), value in counts.items()
                 ]
 
             return observe
@@ -148,7 +149,7 @@
             ("control.traffic", traffic.bytes, "By"),
         ):
             self._meter.create_observable_counter(
-                f"{SCOPE}.{name}", [observer(counts)], unit, "Control traffic."
+                f"{SCOPE}.{name}", [make_callback(counts)], unit, "Control traffic."
             )
 
     def _histograms(self):
@@ -167,7 +168,7 @@
     def _point(self, service, outcome, counts, now_ns):
         return HistogramDataPoint(
             attributes={"daemon": self._name, "service": service, "outcome": outcome},
-            start_time_unix_nano=self._began_ns,
+            start_time_unix_nano=self._started_ns,
             time_unix_nano=now_ns,
             count=counts.count,
             sum=counts.sum_ms,
--- a/src/tarragonramp/adapters/peers.py
+++ b/src/tarragonramp/adapters/peers.py
@@ -1,4 +1,8 @@
-"""Control exchanges between daemons: gRPC for news, small HTTP pings."""
+"""Control messages between daemons.
+
+Pings and updates (news) are sent as JSON over HTTP; server reports, release proofs and
+forwarded requests as gRPC calls.
+"""
 
 import json
 from concurrent import futures
@@ -22,26 +26,27 @@
 PING_TARGET = "/peer/ping"
 NEWS_TARGET = "/peer/news"
 MAX_WORKERS = 64
-NOT_CONNECTED = "failed to connect"
-ANY_LENGTH = -1
+CONNECT_FAILED_TEXT = "failed to connect"
+UNLIMITED = -1
 GRPC_OVERHEAD_BYTES = 60
 
 
 @attrs.frozen
 class PingAnswer:
-    """A neighbour's word.
+    """A peer's answer to a ping.
 
     Parameters
     ----------
     identity : str
-        Of the process that answered.
+        Identity of the process that answered.
     taken : dict of str to int
-        By role, the highest term that it has taken, or begun to take, from the asking
-        daemon: no word is given for that one and earlier ones.
+        By role, the highest term that the peer has taken, or begun to take, from the
+        asking daemon. The answer does not prolong the right of this term or earlier
+        ones.
     newest : int
-        Highest version of the platform's objects that it has seen.
+        Highest version of the platform's objects that the peer has seen.
     leaving : bool
-        Whether it is about to stop, and so no successor for anybody.
+        Whether the peer is about to stop and must not be named as a successor.
     """
 
     identity: str
@@ -52,7 +57,7 @@
 
 @attrs.define(eq=False, repr=False)
 class GrpcPeers:
-    """Client side of the exchanges between daemons.
+    """Client side of the messages between daemons.
 
     Parameters
     ----------
@@ -60,7 +65,7 @@
     timeout_ms : float
     traffic : TrafficMeter
     secrets : Secrets
-        Of the peer port.
+        Secrets of the peer port.
     """
 
     pools: HttpPools
@@ -70,26 +75,26 @@
     _stubs: dict = attrs.Factory(dict)
 
     def ping(self, address, identity, newest) -> Result:
-        """Ask a neighbour whether it has taken over anything."""
+        """Ask a peer which terms it has taken over from this daemon."""
         body = json.dumps({"identity": identity, "newest": newest}).encode()
         pool = self.pools.at(address)
         result = pool.exchange(
             "POST", PING_TARGET, self.secrets.headers, body, self.timeout_ms
         )
-        return result.bind(_ping_answer)
+        return result.bind(_parse_ping_answer)
 
     def news(self, address, question) -> Result:
-        """Ask another daemon for what this one lacks."""
+        """Ask another daemon for objects and VMs that this one does not have yet."""
         body = json.dumps(attrs.asdict(question)).encode()
         timeout_ms = question.wait_ms + self.timeout_ms
         pool = self.pools.at(address)
         result = pool.exchange(
             "POST", NEWS_TARGET, self.secrets.headers, body, timeout_ms
         )
-        return result.bind(_news_answer)
+        return result.bind(_parse_news_answer)
 
     def report(self, address, sender, reports) -> Result:
-        """Tell a planner about backend servers.
+        """Report the condition of backend servers to a planner.
 
         Parameters
         ----------
@@ -103,14 +108,14 @@
         Returns
         -------
         accepted : Success of bool, or Failure of UnansweredError
-            False if that daemon is no planner of the team.
+            False if that daemon is not the planner of the team.
         """
         servers = [peer_pb2.ServerReport(**item) for item in reports]
         request = peer_pb2.ReportRequest(sender=sender, servers=servers)
         return self._call(address, "Report", request).map(lambda r: r.accepted)
 
     def prove_release(self, address, question) -> Result:
-        """Ask a steward which slices of a server are released.
+        """Ask a steward which slices of a server are proved to be released.
 
         Parameters
         ----------
@@ -127,8 +132,8 @@
             lambda r: list(r.released)
         )
 
-    def forward(self, address, order) -> Result:
-        """Have a steward send a caller's request to its server.
+    def forward(self, address, forwarded) -> Result:
+        """Have a steward forward a caller's request to its server.
 
         Parameters
         ----------
@@ -137,27 +142,28 @@
 
         Returns
         -------
-        answer : Success of Answer, or Failure of ExchangeError
-            NotSentError if no byte left for the server, else UnansweredError.
+        response : Success of Response, or Failure of ExchangeError
+            NotSentError if no byte was sent to the server, else UnansweredError.
         """
-        request = _forward_request(order)
+        request = _forward_request(forwarded)
         try:
             reply = self._stub(address).Forward(
                 request,
-                timeout=order.deadline_ms / 1000.0,
+                timeout=forwarded.deadline_ms / 1000.0,
                 metadata=self.secrets.metadata,
             )
         except grpc.RpcError as error:
-            if NOT_CONNECTED in (error.details() or ""):
+            if CONNECT_FAILED_TEXT in (error.details() or ""):
                 return Failure(NotSentError(f"{address}: {error.details()}"))
             return Failure(UnansweredError(f"{address}: {error.code().name}"))
-        return _forwarded(reply)
+        return _parse_forward_reply(reply)
 
     def _stub(self, address):
         stub = self._stubs.get(address)
         if stub is None:
-            # Bodies are bounded where they are read from callers and servers.
-            options = [("grpc.max_receive_message_length", ANY_LENGTH)]
+            # Body sizes are already limited where they are read from callers and
+            # servers.
+            options = [("grpc.max_receive_message_length", UNLIMITED)]
             channel = grpc.insecure_channel(address, options)
             stub = self._stubs[address] = peer_pb2_grpc.PeerStub(channel)
         return stub
@@ -178,30 +184,30 @@
 
 
 class _SecretCheck(grpc.ServerInterceptor):
-    """Refuses every call that does not show the secret.
+    """Rejects calls without a valid peer secret.
 
-    Without it whoever reaches the port could prove releases that never happened,
+    Otherwise anybody with access to the port could prove releases that never happened,
     and a key would get two owners.
     """
 
     def __init__(self, secrets):
         self._secrets = secrets
-        self._refusal = grpc.unary_unary_rpc_method_handler(_refuse)
+        self._refusal = grpc.unary_unary_rpc_method_handler(_abort_unauthenticated)
 
     def intercept_service(self, continuation, handler_call_details):
-        """Pass a call on, or refuse it."""
-        shown = dict(handler_call_details.invocation_metadata)
-        if self._secrets.admits(shown.get(METADATA_KEY)):
+        """Continue with the call if its secret is valid, else reject it."""
+        call_metadata = dict(handler_call_details.invocation_metadata)
+        if self._secrets.admits(call_metadata.get(METADATA_KEY)):
             return continuation(handler_call_details)
         return self._refusal
 
 
-def _refuse(request, context):
+def _abort_unauthenticated(request, context):
     context.abort(grpc.StatusCode.UNAUTHENTICATED, "the peer secret is wrong")
 
 
 class PeerServer(peer_pb2_grpc.PeerServicer):
-    """Server side: hands each message to a function.
+    """Server side of the gRPC messages: passes each one to a callback.
 
     Parameters
     ----------
@@ -213,9 +219,9 @@
         ``on_prove_release(ReleaseRequest) -> (list of int, str)``
     traffic : TrafficMeter
     secrets : Secrets
-        Of the peer port.
+        Secrets of the peer port.
     on_forward : callable
-        ``on_forward(Order) -> Result``, as :meth:`GrpcPeers.forward` returns it.
+        ``on_forward(Order) -> Result``, with the results of :meth:`GrpcPeers.forward`.
     """
 
     def __init__(
@@ -235,7 +241,7 @@
             futures.ThreadPoolExecutor(max_workers=MAX_WORKERS),
             options=[
                 ("grpc.so_reuseport", 0),
-                ("grpc.max_receive_message_length", ANY_LENGTH),
+                ("grpc.max_receive_message_length", UNLIMITED),
             ],
             interceptors=[_SecretCheck(secrets)],
         )
@@ -246,50 +252,52 @@
             raise AddressError(f"{address}: address cannot be bound") from error
 
     def start(self):
-        """Begin to serve."""
+        """Start serving."""
         self._server.start()
 
     def stop(self, timeout_ms):
-        """Take no more calls, and finish those under way within a time."""
+        """Reject new calls and wait up to ``timeout_ms`` for those in progress."""
         self._server.stop(grace=timeout_ms / 1000.0).wait()
 
     def Report(self, request, context):  # noqa: N802
-        """Take a steward's report."""
+        """Handle a steward's report of its servers."""
         accepted = self._on_report(request.sender, request.servers)
-        return self._counted("Report", request, peer_pb2.ReportReply(accepted=accepted))
+        return self._count_traffic(
+            "Report", request, peer_pb2.ReportReply(accepted=accepted)
+        )
 
     def ProveRelease(self, request, context):  # noqa: N802
-        """Answer a planner's question."""
+        """Answer a planner's question which slices are released."""
         released, proof = self._on_prove_release(request)
         reply = peer_pb2.ReleaseReply(released=released, proof=proof)
-        return self._counted("ProveRelease", request, reply)
+        return self._count_traffic("ProveRelease", request, reply)
 
     def Forward(self, request, context):  # noqa: N802
-        """Send a caller's request on."""
-        return _forward_reply(self._on_forward(_order(request)))
+        """Forward a caller's request to its server."""
+        return _forward_reply(self._on_forward(_parse_forwarded_request(request)))
 
-    def _counted(self, method, request, reply):
+    def _count_traffic(self, method, request, reply):
         self._traffic.received(method, message_bytes(request))
         self._traffic.sent(method, message_bytes(reply))
         return reply
 
 
-def _forward_request(order):
+def _forward_request(forwarded):
     return peer_pb2.ForwardRequest(
-        team=order.team,
-        service=order.service,
-        server=order.server,
-        slice=order.slice_index,
-        token=order.token,
-        method=order.method,
-        target=order.target,
-        headers=_wire_headers(order.headers),
-        body=order.body,
-        deadline_ms=order.deadline_ms,
+        team=forwarded.team,
+        service=forwarded.service,
+        server=forwarded.server,
+        slice=forwarded.slice_index,
+        token=forwarded.token,
+        method=forwarded.method,
+        target=forwarded.target,
+        headers=_to_proto_headers(forwarded.headers),
+        body=forwarded.body,
+        deadline_ms=forwarded.deadline_ms,
     )
 
 
-def _order(request):
+def _parse_forwarded_request(request):
     return Order(
         request.team,
         request.service,
@@ -298,7 +306,7 @@
         request.token,
         request.method,
         request.target,
-        _plain_headers(request.headers),
+        _from_proto_headers(request.headers),
         request.body,
         request.deadline_ms,
     )
@@ -309,72 +317,76 @@
         error = result.failure()
         not_sent = isinstance(error, NotSentError)
         return peer_pb2.ForwardReply(not_sent=not_sent, error=str(error))
-    answer = result.unwrap()
+    response = result.unwrap()
     return peer_pb2.ForwardReply(
-        status=answer.status, headers=_wire_headers(answer.headers), body=answer.body
+        status=response.status,
+        headers=_to_proto_headers(response.headers),
+        body=response.body,
     )
 
 
-def _forwarded(reply):
+def _parse_forward_reply(reply):
     if reply.status:
-        headers = _plain_headers(reply.headers)
+        headers = _from_proto_headers(reply.headers)
         return Success(Answer(reply.status, headers, reply.body))
     error_type = NotSentError if reply.not_sent else UnansweredError
     return Failure(error_type(reply.error))
 
 
-def _wire_headers(headers):
-    # Header fields may hold bytes that are no text; they are kept as they are.
+def _to_proto_headers(headers):
+    # Header values may contain arbitrary bytes; they are passed on unchanged.
     return [peer_pb2.Header(name=name, value=value) for name, value in headers]
 
 
-def _plain_headers(headers):
+def _from_proto_headers(headers):
     return tuple((item.name, item.value) for item in headers)
 
 
 def message_bytes(message):
-    """Return what a gRPC message takes on the wire, headers and frames with it."""
+    """Return the size of a gRPC message on the wire, with headers and frames."""
     return message.ByteSize() + GRPC_OVERHEAD_BYTES
 
 
 def news_question(raw):
-    """Read a question that came as bytes.
+    """Parse a NewsQuestion; fields unknown to this version are ignored.
 
     Raises
     ------
     ValueError, KeyError, TypeError
-        If it is not one. Fields of a newer version are passed over.
+        If the data is malformed.
     """
     found = json.loads(raw)
     return NewsQuestion(*(found[field.name] for field in attrs.fields(NewsQuestion)))
 
 
 def news_payload(news):
-    """Return a NewsAnswer as JSON can hold it."""
+    """Return a NewsAnswer as JSON-serializable data."""
     return attrs.asdict(news)
 
 
-def _news_answer(answer):
+def _parse_news_answer(response):
     try:
-        raw = json.loads(answer.body)
+        raw = json.loads(response.body)
         items = tuple(Stored(**item) for item in raw["items"])
         return Success(
-            NewsAnswer(raw["version"], items, _vm_changes(raw["vms"]), raw["reached"])
+            NewsAnswer(
+                raw["version"], items, _parse_vm_changes(raw["vms"]), raw["reached"]
+            )
         )
     except (ValueError, KeyError, TypeError) as error:
         return Failure(UnansweredError(f"news not understood: {error!r}"))
 
 
-def _vm_changes(raw):
+def _parse_vm_changes(raw):
     if raw is None:
         return None
     changed = tuple(Vm(**item) for item in raw["changed"])
     return VmChanges(raw["digest"], raw["whole"], changed, tuple(raw["removed"]))
 
 
-def _ping_answer(answer):
+def _parse_ping_answer(response):
     try:
-        raw = json.loads(answer.body)
+        raw = json.loads(response.body)
         newest = raw.get("newest", 0)
         leaving = raw.get("leaving", False)
         return Success(PingAnswer(raw["identity"], dict(raw["taken"]), newest, leaving))
