--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -1,4 +1,4 @@
-"""``platform/`` translates, and nothing outside it knows the platform's names."""
+"""The adapters in ``platform/``, and that only they use the platform's names."""
 
 import glob
 import json
@@ -27,19 +27,20 @@
 from bridge.settings import duration_ms  # noqa: E402
 from bridge.store import MetadataStore  # noqa: E402
 
-MOST_LINES = 1000
+MAX_LINES = 1000
 
-# Headers, kinds, paths and fields of the platform. Words that the field uses as well,
-# such as "service" or "state", are not among them.
+# Names of the platform's headers, kinds, paths and fields, except for common terms such
+# as "service" or "state".
 WIRE_NAMES = re.compile(
     r"upstream-|shard-key|deadline-ms|not-executed|warmup|hold_time|/-/|pathprefix"
     r"|storerevision|createrevision|finalizers|sharded|maxconns|healthpath"
     r"|evacuations\b|hasmore|staleok|waitms|configapply|holdmax|retryslack",
     re.IGNORECASE,
 )
-# Of the product's own: how long a server is cold after a start, and its own headers.
-OWN_WORDS = re.compile(r"warmup_(ms|of)|Tarragon-[A-Za-z-]+")
-ENTRY = {
+# The product's own names that the pattern would match: the duration of a cold start and
+# the product's headers.
+OWN_NAMES = re.compile(r"warmup_(ms|of)|Tarragon-[A-Za-z-]+")
+VALID_ENTRY = {
     "addr": "10.0.0.1:80",
     "born": 1000,
     "info": {"service": "desk", "zone": "a", "slots": 3, "version": "v1"},
@@ -47,8 +48,8 @@
 }
 
 
-class Pages:
-    """Answers one request after the other with pages of a list."""
+class PagedPool:
+    """A stub of HttpPool that responds with one page of a list after the other."""
 
     def __init__(self, *pages):
         self.pages = list(pages)
@@ -59,27 +60,27 @@
 
 
 class GrantTest(unittest.TestCase):
-    """Grants to a server in this process, which may be restarted at its address."""
+    """Grants to a server in this process that may be restarted at its address."""
 
     def setUp(self):
-        self.clock, self.address, self.seen = Clock(), free_address(), []
+        self.clock, self.address, self.tokens = Clock(), free_address(), []
         self.grants = HttpGrants(HttpPools())
         self.start_server()
 
     def start_server(self):
-        """Start the server anew."""
-        self.server = DaemonServer(self.address, self.answer, self.clock)
+        """Start the server, or restart it at the same address."""
+        self.server = DaemonServer(self.address, self.accept_grant, self.clock)
         self.server.start()
         self.addCleanup(self.server.close)
 
-    def answer(self, environ, start_response):
-        """Take a grant."""
-        self.seen.append(json.loads(environ["wsgi.input"].read())["fence"])
+    def accept_grant(self, environ, start_response):
+        """Record the token of a grant and accept it."""
+        self.tokens.append(json.loads(environ["wsgi.input"].read())["fence"])
         start_response("200 OK", [("Content-Length", "0")])
         return []
 
     def grant(self, token, life=1, reuse_only=False):
-        """Grant some keys; return the kind of the error, or None."""
+        """Grant keys 0 to 9; return the type of the error, or None."""
         result = self.grants.grant(
             "s1",
             self.address,
@@ -94,75 +95,76 @@
         )
         return result.swap().map(type).value_or(None)
 
-    def test_a_grant_opens_a_connection_unless_told_otherwise(self):
+    def test_a_grant_opens_a_connection_unless_reuse_only(self):
         self.assertIs(self.grant(5, reuse_only=True), NoConnectionError)
-        self.assertEqual(self.seen, [])
+        self.assertEqual(self.tokens, [])
         self.assertIsNone(self.grant(5))
         self.assertIsNone(self.grant(5, reuse_only=True))
-        self.assertEqual(self.seen, [5, 5])
+        self.assertEqual(self.tokens, [5, 5])
 
     def test_a_token_goes_only_over_connections_that_have_carried_it(self):
-        """Guards against a connection that was opened to a later life meanwhile."""
+        """A connection opened meanwhile may lead to a later process of the server."""
         self.grant(5)
         self.assertIs(self.grant(7, reuse_only=True), NoConnectionError)
         self.assertIsNone(self.grant(7))
         for token in (7, 5):
             self.assertIsNone(self.grant(token, reuse_only=True))
-        self.assertEqual(self.seen, [5, 7, 7, 5])
+        self.assertEqual(self.tokens, [5, 7, 7, 5])
 
-    def test_a_server_that_started_again_does_not_get_the_old_token(self):
-        """Guards against a restart between two renewals that nobody could look up."""
+    def test_a_restarted_server_does_not_get_the_old_token(self):
+        """The server restarts between two renewals before its new entry is known."""
         self.grant(5)
         self.server.drain(0, 1000)
         self.start_server()
         self.assertIs(self.grant(5, reuse_only=True), NoConnectionError)
-        self.assertEqual(self.seen, [5])
+        self.assertEqual(self.tokens, [5])
 
-    def test_a_connection_to_a_later_life_is_not_the_earlier_ones(self):
-        """Guards against a replaced leader that renews by an old list of servers."""
+    def test_a_connection_to_a_later_life_is_not_used_for_an_earlier_one(self):
+        """A leader that was replaced may renew grants from an outdated server list."""
         self.grant(8, life=2)
         self.assertIs(self.grant(5, life=1, reuse_only=True), NoConnectionError)
-        self.assertEqual(self.seen, [8])
+        self.assertEqual(self.tokens, [8])
 
 
 class ListTest(unittest.TestCase):
     """Objects of a kind, read from the store in several pages."""
 
-    def test_a_change_while_pages_are_read_is_told_by_the_watch_that_follows(self):
+    def test_the_version_of_a_list_is_that_of_its_first_page(self):
+        """A watch from there reports changes made while later pages were read."""
         items = [{"meta": {"name": name, "rev": 5}, "spec": {}} for name in "ab"]
         store = MetadataStore("10.0.0.1:80")
-        store._pool = Pages(
+        store._pool = PagedPool(
             {"items": items[:1], "hasMore": True, "storeRevision": 10},
             {"items": items[1:], "hasMore": False, "storeRevision": 12},
         )
-        version, found = store.snapshot("server").unwrap()
-        self.assertEqual([item.name for item in found], ["a", "b"])
+        version, parsed = store.snapshot("server").unwrap()
+        self.assertEqual([item.name for item in parsed], ["a", "b"])
         self.assertEqual(version, 10)
 
 
 class FolderTest(unittest.TestCase):
-    """What stands where."""
+    """The separation of the product from the platform's adapters."""
 
-    def test_no_name_of_the_platform_stands_outside(self):
+    def test_the_product_uses_no_name_of_the_platform(self):
         for path in glob.glob("src/tarragonramp/**/*.py", recursive=True):
             with open(path, encoding="utf-8") as stream:
                 for number, line in enumerate(stream, 1):
-                    found = WIRE_NAMES.search(OWN_WORDS.sub("", line))
-                    self.assertIsNone(found, f"{path}:{number}: {line.strip()}")
+                    match = WIRE_NAMES.search(OWN_NAMES.sub("", line))
+                    self.assertIsNone(match, f"{path}:{number}: {line.strip()}")
 
     def test_the_folder_stays_small(self):
         n_lines = 0
         for path in glob.glob("platform/**/*.py", recursive=True):
             with open(path, encoding="utf-8") as stream:
                 n_lines += sum(1 for _ in stream)
-        self.assertLess(n_lines, MOST_LINES)
+        self.assertLess(n_lines, MAX_LINES)
 
 
 class ServerEntryTest(unittest.TestCase):
-    """Entries of servers, and of other writers."""
+    """Parsing of server entries, including malformed ones from other writers."""
 
-    def test_an_entry_is_read(self):
-        server = read_server(Stored("server", "i-1", 5, ENTRY)).unwrap()
+    def test_a_valid_entry_is_parsed(self):
+        server = read_server(Stored("server", "i-1", 5, VALID_ENTRY)).unwrap()
         self.assertEqual(
             (server.name, server.life, server.service, server.failure_domain),
             ("i-1", 1000, "desk", "a"),
@@ -170,8 +172,8 @@
         self.assertEqual((server.slots, server.cold_ms), (3, 1500.0))
         self.assertFalse(server.draining)
 
-    def test_whatever_is_no_entry_is_an_error(self):
-        broken = [None, [], "x", 7, {}]
+    def test_malformed_entries_are_errors(self):
+        malformed = [None, [], "x", 7, {}]
         for path, value in (
             ("addr", "nowhere"),
             ("addr", "10.0.0.1:99999"),
@@ -184,32 +186,36 @@
             ("status.state", "asleep"),
             ("status.warmupLeft", "soon"),
         ):
-            entry = {**ENTRY, "info": {**ENTRY["info"]}, "status": {**ENTRY["status"]}}
+            entry = {
+                **VALID_ENTRY,
+                "info": {**VALID_ENTRY["info"]},
+                "status": {**VALID_ENTRY["status"]},
+            }
             place, *below = path.split(".")
             if below:
                 entry[place][below[0]] = value
             else:
                 entry[place] = value
-            broken.append(entry)
-        for entry in broken:
+            malformed.append(entry)
+        for entry in malformed:
             result = read_server(Stored("server", "i-1", 5, entry))
             self.assertFalse(is_successful(result), entry)
 
 
 class ManifestTest(unittest.TestCase):
-    """The operators' manifest."""
+    """Parsing of the operators' manifest."""
 
-    def test_a_manifest_is_read(self):
-        found = read_manifest(manifest(12)).unwrap()
-        self.assertEqual(found.version, 12)
-        self.assertTrue(found.services["parts"].divided)
-        by_prefix = {route.path_prefix: route for route in found.routes}
+    def test_a_valid_manifest_is_parsed(self):
+        parsed = read_manifest(manifest(12)).unwrap()
+        self.assertEqual(parsed.version, 12)
+        self.assertTrue(parsed.services["parts"].divided)
+        by_prefix = {route.path_prefix: route for route in parsed.routes}
         self.assertFalse(by_prefix["/book/"].idempotent)
         self.assertEqual(by_prefix["/view/"].timeout_ms, 1500.0)
 
-    def test_whatever_is_no_manifest_is_an_error(self):
-        for broken in (None, {}, {"version": "12"}, {**manifest(3), "clusters": 7}):
-            self.assertFalse(is_successful(read_manifest(broken)), broken)
+    def test_malformed_manifests_are_errors(self):
+        for malformed in (None, {}, {"version": "12"}, {**manifest(3), "clusters": 7}):
+            self.assertFalse(is_successful(read_manifest(malformed)), malformed)
 
     def test_durations(self):
         self.assertEqual(duration_ms("2.5s"), 2500.0)
@@ -220,13 +226,13 @@
 
 
 class HeadersTest(unittest.TestCase):
-    """Headers of requests and answers."""
+    """Headers of requests and responses."""
 
     def setUp(self):
         self.dialect = HttpDialect()
 
-    def test_what_a_caller_sets_does_not_reach_a_server(self):
-        """A caller's own expectation or time limit would pass for the router's."""
+    def test_reserved_headers_of_a_caller_do_not_reach_a_server(self):
+        """A server would take a caller's expectation or deadline for the router's."""
         headers = [
             ("host", "h.example"),
             ("request-id", "r1"),
@@ -248,13 +254,13 @@
             ],
         )
 
-    def test_a_request_is_read(self):
+    def test_request_headers_are_parsed(self):
         facts = self.dialect.read_request([("shard-key", "7"), ("deadline-ms", "5")])
         self.assertEqual((facts.key, facts.patience_ms, facts.request_id), (7, 5.0, ""))
         with self.assertRaises(ValueError):
             self.dialect.read_request([("shard-key", "seven")])
 
-    def test_an_answer_is_read(self):
+    def test_response_headers_are_parsed(self):
         def facts(status, *headers):
             return self.dialect.read_answer(Answer(status, headers, b""))
 
