--- a/src/tarragonramp/clock.py
+++ b/src/tarragonramp/clock.py
@@ -10,11 +10,11 @@
 class Clock:
     """The monotonic clock of this process.
 
-    Readings of different processes are never comparable.
+    Readings of different processes are not comparable.
     """
 
     def now_ms(self):
-        """Return milliseconds since an arbitrary start.
+        """Return the time in milliseconds since an arbitrary start.
 
         Returns
         -------
@@ -24,35 +24,35 @@
 
 
 class SuspendAwareClock(Clock):
-    """A clock that goes on while the VM is suspended.
+    """A clock that keeps running while the VM is suspended.
 
-    The monotonic clock stands still meanwhile: a daemon that wakes would take a right
-    that has long ended for one that is still good.
+    The monotonic clock stops during suspension, so a daemon would take a right that has
+    expired meanwhile for a valid one.
     """
 
     def now_ms(self):
-        """Return milliseconds since an arbitrary start."""
+        """Return the time in milliseconds since an arbitrary start."""
         return time.clock_gettime(time.CLOCK_BOOTTIME) * 1000.0
 
 
 @attrs.define
 class ManualClock(Clock):
-    """A clock that moves only when told to.
+    """A clock that only advances explicitly, for tests.
 
     Parameters
     ----------
     reading_ms : float, default=0.0
-        First reading.
+        Initial reading.
     """
 
     reading_ms: float = 0.0
 
     def now_ms(self):
-        """Return the reading that was last set, in milliseconds."""
+        """Return the current reading in milliseconds."""
         return self.reading_ms
 
     def advance(self, by_ms):
-        """Move the clock forward.
+        """Advance the clock.
 
         Parameters
         ----------
--- a/src/tarragonramp/dialect.py
+++ b/src/tarragonramp/dialect.py
@@ -1,4 +1,4 @@
-"""What the request path reads from messages, whatever their headers are called."""
+"""Interface between the request path and the header names of a platform."""
 
 from typing import Protocol
 
@@ -13,15 +13,15 @@
 
 @attrs.frozen
 class RequestFacts:
-    """What a caller says of its request.
+    """Data parsed from the headers of a caller's request.
 
     Parameters
     ----------
     request_id, host : str
     patience_ms : float or None
-        How long the caller waits.
+        How long the caller waits for a response; None if it does not say.
     key : int or None
-        The key that the request is about.
+        Key of the request in a divided service; None if it has none.
     """
 
     request_id: str
@@ -32,16 +32,18 @@
 
 @attrs.frozen
 class AnswerFacts:
-    """What a server says with its answer.
+    """Data parsed from the headers of a server's response.
 
     Parameters
     ----------
     not_run : bool
-        The server's word that the request did not run and never will.
+        Whether the server guarantees that it did not and will not run the request.
     misdirected : bool
-        It was not for this server, or not for a key that it holds.
+        Whether the request was meant for another server, or for a key that the server
+        does not own.
     genuine : bool
-        Whether the answer bears the mark that a server's own answers bear.
+        Whether the response carries the header that identifies the server's own
+        responses.
     load : LoadReport or None
     """
 
@@ -52,34 +54,34 @@
 
 
 class Dialect(Protocol):
-    """How callers and servers write these facts."""
+    """Parses and builds the headers that callers and servers use."""
 
     echoed_headers: tuple
 
     def read_request(self, headers):
-        """Return the RequestFacts of a caller's headers; ValueError if malformed."""
+        """Parse a caller's headers into RequestFacts; ValueError if malformed."""
 
     def server_headers(self, headers, server, left_ms):
-        """Return the headers for a server that has ``left_ms`` to answer."""
+        """Return the headers to send to a server with a timeout of ``left_ms``."""
 
-    def read_answer(self, answer):
-        """Return the AnswerFacts of an Answer."""
+    def read_answer(self, response):
+        """Parse the headers of a server's response into AnswerFacts."""
 
     def refusal_headers(self, request_id, retry_after_s):
-        """Return the headers of an answer of the router's own."""
+        """Return the headers of a response that the router generates itself."""
 
 
 def end_to_end_headers(headers, dropped=frozenset()):
-    """Return the headers that go on, the caller's host among them.
+    """Return the end-to-end headers, including the caller's ``Host``.
 
-    Leaves out those for one hop, and those that the sender's ``Connection`` names.
+    Removes hop-by-hop headers and those that the sender's ``Connection`` header lists.
 
     Parameters
     ----------
     headers : list of (str, str)
         Names in lower case.
     dropped : frozenset of str
-        Further names to leave out.
+        Names of further headers to remove.
     """
-    out = _ROUTING_HEADERS | dropped | named_by_connection(headers)
-    return [item for item in headers if item[0] not in out]
+    excluded = _ROUTING_HEADERS | dropped | named_by_connection(headers)
+    return [item for item in headers if item[0] not in excluded]
--- a/src/tarragonramp/ports.py
+++ b/src/tarragonramp/ports.py
@@ -1,4 +1,4 @@
-"""What the roles need of the world outside, as small protocols."""
+"""Interfaces (ports) through which the roles use the platform, servers and peers."""
 
 from typing import Protocol
 
@@ -17,29 +17,29 @@
         """Return Success of a list of Stored, or Failure of PlatformError."""
 
     def put(self, kind, name, spec, expected_version) -> Result:
-        """Write if the object is at a version (0: does not exist).
+        """Write the object if it is at the expected version (0: does not exist).
 
-        Returns Success of the new Stored; Failure of ConflictError if it is at
-        another version; Failure of PlatformUnreachableError if no answer came, in
+        Returns Success of the new Stored; Failure of ConflictError if the object is at
+        another version; Failure of PlatformUnreachableError if no response arrived, in
         which case the write may still take effect.
         """
 
     def delete(self, kind, name, expected_version) -> Result:
-        """Delete if the object is at a version; returns as :meth:`put` does."""
+        """Delete the object if it is at a version; returns as :meth:`put` does."""
 
     def watch(self, since_version, wait_ms, kinds=()) -> Result:
-        """Wait for changes, of some kinds or of all, after a version.
+        """Wait for changes after a version, of the given kinds or of all.
 
-        Returns Success of ``(version, list of Stored)``, the list empty if nothing
-        changed in time.
+        Returns Success of ``(version, list of Stored)``; the list is empty if nothing
+        changed within ``wait_ms``.
         """
 
     def list_vms(self) -> Result:
-        """Return Success of a list of Vm; the list lags."""
+        """Return Success of a list of Vm, which may be out of date."""
 
 
 class Backends(Protocol):
-    """Control exchanges with backend servers."""
+    """Control requests to backend servers."""
 
     def probe(self, address, timeout_ms) -> Result:
         """Return Success of ServerAnswer, or Failure of ExchangeError."""
@@ -49,7 +49,7 @@
 
 
 class Peers(Protocol):
-    """Control exchanges between daemons."""
+    """Control messages between daemons."""
 
     def ping(self, address, identity, newest) -> Result:
         """Return Success of PingAnswer, or Failure of ExchangeError."""
@@ -58,7 +58,7 @@
         """Return Success of NewsAnswer, or Failure of ExchangeError."""
 
     def report(self, address, sender, reports) -> Result:
-        """Tell a planner about backend servers; Success of bool."""
+        """Report the condition of backend servers to a planner; Success of bool."""
 
     def prove_release(self, address, question) -> Result:
-        """Ask a steward which slices are provably released."""
+        """Ask a steward which slices are proved to be released."""
