--- a/src/tarragonramp/daemon.py
+++ b/src/tarragonramp/daemon.py
@@ -1,13 +1,13 @@
-"""tarragonrampd: the one daemon, with the roles entry, steward and planner."""
+"""tarragonrampd: the router daemon, with the roles entry, steward and planner."""
 
-# gevent has to replace the blocking calls before anything else is imported.
+# gevent must patch the blocking calls before anything else is imported.
 from gevent import monkey
 
 monkey.patch_all()
 
 import os  # noqa: E402
 
-# gRPC's core writes lines of its own form to standard error.
+# gRPC's core would log to standard error in a format of its own.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
 
 import argparse  # noqa: E402
@@ -91,7 +91,7 @@
     metrics: object
     gatekeeper: object = None
     peer_server: object = None
-    control: object = None
+    control_server: object = None
     caller_server: object = None
     ready: bool = False
     stopped: Event = attrs.Factory(Event)
@@ -99,7 +99,7 @@
 
     @classmethod
     def from_config(cls, settings):
-        """Join roles and adapters as the settings say."""
+        """Create a daemon with its roles and adapters from the settings."""
         clock, timing = Clock(), settings.timing
         me = Member(
             settings.name,
@@ -202,7 +202,7 @@
             lambda: (self.ready, self._readiness()),
             self.stopped.is_set,
         )
-        self.control = DaemonServer(
+        self.control_server = DaemonServer(
             settings.control_address, application, clock, self.traffic
         )
         self.caller_server = DaemonServer(
@@ -214,14 +214,14 @@
         )
 
     def run(self):
-        """Serve until a signal says stop, then drain.
+        """Serve until :meth:`stop` is called, then drain.
 
-        The platform may be down at the start: the daemon then comes up without a
-        view, says that it is not ready, and goes on trying.
+        If the platform is unavailable at the start, the daemon runs without a view,
+        reports not ready, and keeps trying to read the platform.
         """
         self.cpu.start()
         self.peer_server.start()
-        self.control.start()
+        self.control_server.start()
         keep_running(self.loop_watch.run)
         keep_running(self.news.run)
         keep_running(self.news.run_vm_list)
@@ -231,12 +231,12 @@
         self._drain()
 
     def stop(self):
-        """Begin to drain; a second call changes nothing."""
+        """Start draining; further calls have no effect."""
         log_event("daemon-told-to-stop", again=self.stopped.is_set())
         self.stopped.set()
 
     def _join_fleet(self):
-        """Register, then begin to act in the roles of control."""
+        """Register this daemon, then start the control roles."""
         self.news.wait_started()
         self.membership.register()
         for task in (
@@ -249,7 +249,7 @@
             keep_running(task)
 
     def _open(self):
-        """Take callers once there is a view to route by."""
+        """Start accepting callers once the view has been read from the platform."""
         while not self.news.synced.wait(WAITING_LOG_MS / 1000.0):
             log_event("daemon-waiting", reason="platform not read yet")
         self.caller_server.start()
@@ -257,11 +257,12 @@
         log_event("daemon-ready", identity=self.me.identity)
 
     def _drain(self):
-        """Leave in the order that costs callers and neighbours nothing.
+        """Shut down in an order that fails no request and leaves no term unheld.
 
-        First "not ready", while still serving, so that the balancer sends new callers
-        elsewhere; then no new connections; then what is held is finished; only then
-        are terms handed over, since until then requests may need their steward here.
+        The daemon first reports not ready while still serving, so that the load
+        balancer sends new callers elsewhere; then it accepts no more connections and
+        completes the requests in progress. Terms are handed over only after that, since
+        these requests may need a steward of this daemon.
         """
         timing = self.settings.timing
         was_ready, self.ready = self.ready, False
@@ -273,8 +274,8 @@
         drained = self.caller_server.drain(timing.drain_idle_ms, timing.drain_ms)
         all_handed = self.keeper.hand_over_all(timing.handover_ms)
         unregistered = all_handed and self.membership.unregister()
-        self.control.drain(CONTROL_DRAIN_IDLE_MS, timing.control_timeout_ms * 2)
-        # Requests that other daemons forwarded here are callers' requests, too.
+        self.control_server.drain(CONTROL_DRAIN_IDLE_MS, timing.control_timeout_ms * 2)
+        # gRPC calls may carry callers' requests forwarded by other daemons.
         self.peer_server.stop(timing.drain_ms)
         log_event(
             "daemon-stopped",
@@ -284,11 +285,11 @@
         )
 
     def _readiness(self):
-        """Say why callers should, or should not, be sent here.
+        """Return the reason why this daemon is or is not ready.
 
-        Not when the platform is out of reach later on: the daemon then serves what it
-        knows, and so do all the others. Were that "not ready", an outage would take
-        the whole site from behind its balancer.
+        A daemon that loses the platform after its start stays ready and serves with the
+        last known view. Otherwise an outage of the platform would make all daemons not
+        ready, and the load balancer would take the whole site out of service.
         """
         if self.ready:
             return "serving"
@@ -356,8 +357,7 @@
     Returns
     -------
     exit_code : int
-        0 after a graceful stop, 1 if an address is taken, 2 for settings that cannot
-        be used.
+        0 after a graceful stop, 1 if an address is in use, 2 for invalid settings.
     """
     parser = argparse.ArgumentParser("tarragonrampd", description=__doc__)
     parser.add_argument("--settings", required=True, help="YAML settings file")
--- a/src/tarragonramp/fleet.py
+++ b/src/tarragonramp/fleet.py
@@ -1,4 +1,7 @@
-"""The daemon of a fleet whose servers check fencing tokens and register themselves."""
+"""The daemon of a fleet whose servers check fencing tokens and register themselves.
+
+One daemon of the fleet is the leader, which grants ranges of keys to servers.
+"""
 
 import signal
 import sys
@@ -38,40 +41,42 @@
 EXIT_ADDRESS = 1
 
 UNREADY_MS = 2600.0
-"""How long a stopping daemon is not ready and still takes connections: callers are
-sent here until two looks a second apart have found it not ready."""
+"""How long a stopping daemon reports not ready and still accepts connections: the load
+balancer sends callers here until two checks, a second apart, have failed."""
 
 MIN_DRAIN_MS = 500.0
 GRACE_MARGIN_MS = 400.0
-"""Left of the time before a stopping process is killed, for its own end."""
+"""Part of the grace period reserved for the exit of the process after the drain."""
 
 DRAIN_IDLE_MS = 100.0
 SERVER_MAX_IDLE_MS = 6000.0
-"""How long a connection to a server is kept unused. Servers close theirs after some
-ten seconds, and a request sent at that moment would be lost."""
+"""Longest idle time after which a connection to a server is reused. Servers close idle
+connections after about ten seconds, and a request sent at that moment is lost."""
 
 SERVER_CONNECT_MS = 700.0
 USER_TIMEOUT_MS = 1500.0
-"""How long the kernel tries to deliver what a server does not acknowledge."""
+"""TCP_USER_TIMEOUT: how long the kernel retransmits data that a server does not
+acknowledge."""
 
 MAX_HEADER_LINES = 100
 
 
 @attrs.frozen
 class FleetBounds:
-    """What the users of a fleet ask of every daemon, in ms where a name says so.
+    """Limits that the users of a fleet set for all daemons.
 
     Parameters
     ----------
     grace_ms : float
-        Between the signal to stop and the kill.
+        Time between SIGTERM and SIGKILL.
     longest_hold_ms : float
-        Longest time that a server takes a grant for.
+        Longest duration of a grant that a server accepts.
     retry_ratio, retry_slack : float
-        Further sends allowed in ten seconds, all daemons together: this part of the
-        requests, and so many more.
+        Retries that all daemons together may send in ten seconds: ``retry_ratio`` times
+        the number of requests, plus ``retry_slack``.
     cold_burst_factor, cold_slack : float
-        A cold server takes this factor of its rate, and so many more, in a second.
+        Requests that a cold server accepts in a second: ``cold_burst_factor`` times its
+        rate, plus ``cold_slack``.
     """
 
     grace_ms: float = 6000.0
@@ -84,19 +89,21 @@
 
 @attrs.frozen
 class FleetSettings:
-    """Where a daemon runs and whom it asks; addresses are ``ip:port``.
+    """Settings of one daemon; addresses are ``ip:port``.
 
     Parameters
     ----------
     name, failure_domain : str
     caller_address, ready_address, peer_address : str
-        Where it serves callers, the balancer's question, and other daemons.
+        Listen addresses for callers, for the load balancer's readiness check, and for
+        other daemons.
     platform_address : str
     seeds : tuple of str
-        Peer addresses of some daemons, which may be gone.
+        Peer addresses of some daemons, which may no longer exist.
     bounds : FleetBounds
     metrics_address : str
-        Where the metrics are served beside the peer address; empty for nowhere.
+        Separate listen address for metrics, which are always served at the peer address
+        too; empty for none.
     """
 
     name: str
@@ -112,7 +119,7 @@
 
 @attrs.frozen
 class FleetPorts:
-    """What the daemon needs of the platform it runs on.
+    """Adapters of the platform that the daemon runs on.
 
     Parameters
     ----------
@@ -120,11 +127,11 @@
     grants : Grants
     dialect : Dialect
     read_server, read_manifest : callable
-        Decode what others wrote into a BackendServer and a Manifest; Results.
+        Parse stored objects into a Result of BackendServer and of Manifest.
     read_settings : callable
-        Reads the settings anew; a Result.
+        Reads the settings file again and returns a Result of FleetSettings.
     ready_path : str
-        What the balancer asks for.
+        Path of the load balancer's readiness check.
     """
 
     store: object
@@ -158,15 +165,15 @@
     traffic: TrafficMeter = attrs.Factory(TrafficMeter)
     cpu: CpuMeter = attrs.Factory(CpuMeter)
     caller_server: object = None
-    ready: object = None
-    peers: object = None
-    metrics: object = None
+    readiness_server: object = None
+    peer_server: object = None
+    metrics_server: object = None
     is_ready: bool = False
     stopped: Event = attrs.Factory(Event)
 
     @classmethod
     def from_config(cls, settings, ports):
-        """Join roles and adapters as the settings say."""
+        """Create a daemon with its roles and adapters from the settings."""
         clock = SuspendAwareClock()
         view = FleetView(clock)
         peers = FleetPeers(view, settings.name)
@@ -231,7 +238,7 @@
         self.caller_server = PipeliningServer(
             settings.caller_address, self.router, clock
         )
-        self.ready = DaemonServer(
+        self.readiness_server = DaemonServer(
             settings.ready_address, self._serve_readiness, clock, self.traffic
         )
         application = PeerApplication(
@@ -240,31 +247,32 @@
             Relay(self.ports.grants, clock),
             self._metrics().page,
         )
-        self.peers = DaemonServer(
+        self.peer_server = DaemonServer(
             settings.peer_address, application, clock, self.traffic
         )
         if settings.metrics_address:
             self._add_metrics_server(settings.metrics_address, application)
 
     def _add_metrics_server(self, address, application):
-        """Serve the metrics at an address of their own, if it is free.
+        """Serve the metrics at a separate address.
 
-        Callers are served without them, too.
+        If the address is in use, the daemon runs without it: callers do not depend on
+        metrics.
         """
         try:
-            self.metrics = DaemonServer(
+            self.metrics_server = DaemonServer(
                 address, application.metrics_only, self.clock, self.traffic
             )
         except AddressError as error:
             log_event("metrics-not-served", level=logbook.WARNING, reason=str(error))
 
     def run(self):
-        """Serve until a signal says stop, then drain."""
+        """Serve until :meth:`stop` is called, then drain."""
         self.cpu.start()
-        self.ready.start()
-        self.peers.start()
-        if self.metrics is not None:
-            self.metrics.start()
+        self.readiness_server.start()
+        self.peer_server.start()
+        if self.metrics_server is not None:
+            self.metrics_server.start()
         for kind in FOLLOWED_KINDS:
             keep_running(lambda kind=kind: self.follower.run(kind))
         keep_running(self.follower.run_missing)
@@ -277,12 +285,12 @@
         self._drain()
 
     def stop(self):
-        """Begin to drain; a second call changes nothing."""
+        """Start draining; further calls have no effect."""
         log_event("daemon-told-to-stop", again=self.stopped.is_set())
         self.stopped.set()
 
     def reload(self):
-        """Read the settings anew; what can't be used leaves the old ones in force."""
+        """Read the settings again; invalid ones leave the current ones in force."""
         loaded = self.ports.read_settings()
         if not is_successful(loaded):
             reason = "; ".join(map(str, loaded.failure().faults))
@@ -294,7 +302,7 @@
         log_event("settings-reloaded")
 
     def _open(self):
-        """Take callers once it is known where their requests go."""
+        """Start accepting callers once the routing state has been read."""
         while not self._has_routing_state():
             self.view.wait(500.0)
         self._apply_limits()
@@ -323,7 +331,7 @@
         )
 
     def _tidy(self):
-        """Forget now and then what is known of servers and moves that are gone."""
+        """Periodically drop the state of removed servers and finished moves."""
         while True:
             gevent.sleep(10.0)
             self.router.loads.forget(self.view.directory.servers)
@@ -335,10 +343,11 @@
         return json_reply(start_response, 200 if self.is_ready else 503, {})
 
     def _drain(self):
-        """Leave in the order that costs callers nothing.
+        """Shut down in an order that fails no request.
 
-        First not ready while still serving, so that no new callers are sent here; then
-        each answer closes its connection; then what is held is finished.
+        The daemon first reports not ready while still serving, so that the load
+        balancer sends no new callers; each response then closes its connection; finally
+        the requests in progress are completed.
         """
         began_ms = self.clock.now_ms()
         was_ready, self.is_ready = self.is_ready, False
@@ -394,7 +403,7 @@
 
 
 def run_daemon(settings, ports):
-    """Run a daemon until it is told to stop; return the exit code.
+    """Run a daemon until it is stopped by a signal; return the exit code.
 
     Parameters
     ----------
