--- a/src/tarragonramp/adapters/pipelining.py
+++ b/src/tarragonramp/adapters/pipelining.py
@@ -154,7 +154,9 @@
         if self.previous_sent is not None:
             self.previous_sent.wait()
         if not hasattr(self, "socket") or self.socket is None:
-            raise ConnectionResetError(errno.ECONNRESET, "closed before the answer")
+            raise ConnectionResetError(
+                errno.ECONNRESET, "connection closed before the response was sent"
+            )
         super()._sendall(data)
 
     def _can_overlap(self):
--- a/src/tarragonramp/adapters/serving.py
+++ b/src/tarragonramp/adapters/serving.py
@@ -36,7 +36,7 @@
 
     Parameters
     ----------
-    cut : int
+    n_aborted : int
         Number of requests still in progress when the timeout expired.
     """
 
