--- a/src/tarragonramp/adapters/fleet_peers.py
+++ b/src/tarragonramp/adapters/fleet_peers.py
@@ -12,7 +12,7 @@
 from ..errors import UnansweredError
 from ..meters import NOT_RUN
 from .http import HttpPools
-from .web import RequestError, caller_is_gone, error_reply
+from .web import RequestError, caller_disconnected, error_reply
 
 __all__ = ["FleetPeers", "PeerApplication"]
 
@@ -83,7 +83,7 @@
         Returns
         -------
         news : dict
-            As ``Follower.news_since`` returns it; empty if there are no updates.
+            As ``Follower.updates_since`` returns it; empty if there are no updates.
         """
         address = address or self._pick_peer()
         if not address:
@@ -156,14 +156,14 @@
         path = environ["PATH_INFO"]
         try:
             if path == PING:
-                response = self.leadership.heard(_read_message(environ))
+                response = self.leadership.handle_ping(_read_message(environ))
             elif path == STEP_DOWN:
                 request = _read_message(environ)
-                response = self.leadership.told_to_step_down(
+                response = self.leadership.handle_step_down(
                     request["term"], str(request.get("successor", ""))
                 )
             elif path == RELAY:
-                is_wanted = lambda: not caller_is_gone(environ)
+                is_wanted = lambda: not caller_disconnected(environ)
                 response = self.relay.send(_read_message(environ), is_wanted)
             elif path == NEWS:
                 response = self._news(environ)
@@ -193,7 +193,7 @@
     def _news(self, environ):
         query = urllib.parse.parse_qs(environ["QUERY_STRING"])
         kind, since = query["kind"][0], int(query["since"][0])
-        news = self.follower.news_since({kind: since})
+        news = self.follower.updates_since({kind: since})
         return {kind: news[kind]} if kind in news else {}
 
     def _metrics(self, start_response):
--- a/src/tarragonramp/adapters/http.py
+++ b/src/tarragonramp/adapters/http.py
@@ -28,7 +28,7 @@
 )
 from ..meters import kind_of
 
-__all__ = ["Answer", "HttpPool", "HttpPools", "split_address"]
+__all__ = ["Response", "HttpPool", "HttpPools", "split_address"]
 
 RECEIVE_BYTES = 65_536
 MAX_IDLE_CONNECTIONS = 64
@@ -49,7 +49,7 @@
 
 
 @attrs.frozen
-class Answer:
+class Response:
     """A complete HTTP response.
 
     Parameters
@@ -215,12 +215,12 @@
         if self.traffic is not None:
             self.traffic.received(kind_of(method, target), n_received)
         self._release(connection, parser)
-        response = Answer(
+        response = Response(
             parser.status_code, tuple(parser.items()), bytes(parser._body_buffer)
         )
         return Success(response)
 
-    def has_live_idle(self):
+    def has_open_idle(self):
         """Return whether the idle connection that is used next is still open.
 
         If the server has closed it, all idle connections are closed, because a new
@@ -231,9 +231,9 @@
         self.close()
         return False
 
-    def has_lost_idle(self):
+    def has_closed_idle(self):
         """Return whether the server has closed the idle connection used next."""
-        return bool(self._idle) and not self.has_live_idle()
+        return bool(self._idle) and not self.has_open_idle()
 
     def close(self):
         """Close all idle connections."""
--- a/src/tarragonramp/adapters/peers.py
+++ b/src/tarragonramp/adapters/peers.py
@@ -14,12 +14,12 @@
 
 from ..credentials import METADATA_KEY, Secrets
 from ..errors import AddressError, NotSentError, UnansweredError
-from ..gates import Order
+from ..gates import ForwardedRequest
 from ..model import Stored, Vm
 from ..news import NewsAnswer, NewsQuestion
 from ..vms import VmChanges
 from ..wire import peer_pb2, peer_pb2_grpc
-from .http import Answer, HttpPools
+from .http import HttpPools, Response
 
 __all__ = ["GrpcPeers", "PeerServer", "PingAnswer", "news_payload", "news_question"]
 
@@ -298,7 +298,7 @@
 
 
 def _parse_forwarded_request(request):
-    return Order(
+    return ForwardedRequest(
         request.team,
         request.service,
         request.server,
@@ -328,7 +328,7 @@
 def _parse_forward_reply(reply):
     if reply.status:
         headers = _from_proto_headers(reply.headers)
-        return Success(Answer(reply.status, headers, reply.body))
+        return Success(Response(reply.status, headers, reply.body))
     error_type = NotSentError if reply.not_sent else UnansweredError
     return Failure(error_type(reply.error))
 
--- a/src/tarragonramp/adapters/serving.py
+++ b/src/tarragonramp/adapters/serving.py
@@ -40,7 +40,7 @@
         Number of requests still in progress when the timeout expired.
     """
 
-    cut: int
+    n_aborted: int
 
 
 class DaemonHandler(WebHandler):
@@ -96,7 +96,7 @@
         traffic.received(kind, n_received)
         traffic.sent(kind, self.response_length)
 
-    def hang_up(self):
+    def shut_down_receive(self):
         """Close the connection once all received requests are answered.
 
         The kernel would discard a request that arrives just before a full close, and
@@ -150,7 +150,7 @@
             mark_request_work()
         super().handle(sock, address)
 
-    def leave(self):
+    def begin_shutdown(self):
         """Keep serving, but close each connection after its next response."""
         self.shutting_down = True
 
@@ -170,7 +170,7 @@
         -------
         drained : DrainResult
         """
-        self.leave()
+        self.begin_shutdown()
         if self.started:
             self._refuse_handshakes()
             gevent.sleep(HANDSHAKE_WAIT_MS / 1000.0)
@@ -181,7 +181,7 @@
             idle_before_ms = self.clock.now_ms() - idle_ms
             for handler in list(self.connections):
                 if not handler.busy and handler.idle_since_ms <= idle_before_ms:
-                    handler.hang_up()
+                    handler.shut_down_receive()
             gevent.sleep(DRAIN_POLL_MS / 1000.0)
         return DrainResult(sum(handler.busy for handler in self.connections))
 
--- a/src/tarragonramp/adapters/usage.py
+++ b/src/tarragonramp/adapters/usage.py
@@ -106,7 +106,7 @@
     _paused_ms: float = 0.0
     _sleep_began_s: float | None = None
 
-    def stood_still_ms(self):
+    def total_pause_ms(self):
         """Return the total time for which the loop has been blocked, until now."""
         late_ms = self._late_ms()
         return self._paused_ms + (late_ms if late_ms >= LOOP_BLOCKED_MS else 0.0)
--- a/src/tarragonramp/adapters/web.py
+++ b/src/tarragonramp/adapters/web.py
@@ -20,8 +20,8 @@
     "REASONS",
     "TARGET_KEY",
     "WebServer",
-    "answer_reply",
-    "caller_is_gone",
+    "backend_reply",
+    "caller_disconnected",
     "error_reply",
     "json_reply",
     "read_body",
@@ -349,7 +349,7 @@
         super().handle(sock, address)
 
 
-def caller_is_gone(environ):
+def caller_disconnected(environ):
     """Return whether the caller of a request has closed its side of the connection.
 
     Parameters
@@ -370,14 +370,14 @@
     return bool(poll.poll(0))
 
 
-def read_body(environ, limit_bytes, patience_ms):
+def read_body(environ, limit_bytes, caller_timeout_ms):
     """Read the complete body of a request, within a size limit and a timeout.
 
     Parameters
     ----------
     environ : dict
     limit_bytes : int
-    patience_ms : float
+    caller_timeout_ms : float
 
     Raises
     ------
@@ -391,7 +391,7 @@
         raise RequestError(413, NOT_RUN, "body longer than the limit")
     body = None
     try:
-        with gevent.Timeout(patience_ms / 1000.0, False):
+        with gevent.Timeout(caller_timeout_ms / 1000.0, False):
             body = environ["wsgi.input"].read(limit_bytes + 1)
     except (OSError, ValueError):
         raise RequestError(400, NOT_RUN, "malformed or incomplete body") from None
@@ -425,7 +425,7 @@
     return [body]
 
 
-def answer_reply(start_response, method, response, headers):
+def backend_reply(start_response, method, response, headers):
     """Respond to a WSGI request with a backend server's response.
 
     Parameters
--- a/src/tarragonramp/admission.py
+++ b/src/tarragonramp/admission.py
@@ -115,7 +115,7 @@
     max_wait_ms : float
     rng : random.Random
         For the jitter of retry times.
-    stood_still_ms : callable
+    total_pause_ms : callable
         Returns for how long this process has stood still in all. Its own pauses are
         not the server's silence.
     """
@@ -125,7 +125,7 @@
     n_entries: int = 1
     max_wait_ms: float = MAX_WAIT_MS
     rng: random.Random = attrs.Factory(random.Random)
-    stood_still_ms: object = lambda: 0.0
+    total_pause_ms: object = lambda: 0.0
     limit: float = attrs.field(init=False)
     in_flight: int = 0
     mean_ms: float = FIRST_MEAN_MS
@@ -204,7 +204,7 @@
             return []
         # A server that has answered nothing for some time is taken to go on so: all
         # that is in flight may be stuck in a frozen one.
-        own_ms = self.stood_still_ms() - self._moved_still_ms
+        own_ms = self.total_pause_ms() - self._moved_still_ms
         silent_ms = now_ms - self._moved_ms - own_ms - self.mean_ms
         wait_ms = max(self._expected_wait_ms(ticket.priority), silent_ms)
         if not self._has_prospects(ticket, wait_ms, now_ms):
@@ -241,7 +241,7 @@
         return self._start_waiting(now_ms)
 
     def _note_move(self, now_ms):
-        self._moved_ms, self._moved_still_ms = now_ms, self.stood_still_ms()
+        self._moved_ms, self._moved_still_ms = now_ms, self.total_pause_ms()
 
     def withdraw(self, ticket):
         """Forget a waiting ticket whose caller has gone or whose time is up."""
--- a/src/tarragonramp/assignments.py
+++ b/src/tarragonramp/assignments.py
@@ -6,7 +6,7 @@
 
 from .model import OWNED, RELEASING
 
-__all__ = ["may_grant", "questions", "registration", "tokens_of"]
+__all__ = ["may_grant", "slices_to_release", "with_steward_term", "tokens_of"]
 
 
 def may_grant(assignment, server, term):
@@ -26,7 +26,7 @@
     return assignment is not None and assignment.stewards.get(server) == term
 
 
-def registration(assignment, server, term, request_id):
+def with_steward_term(assignment, server, term, request_id):
     """Return the assignment with a steward's term recorded, or None.
 
     Parameters
@@ -63,7 +63,7 @@
     }
 
 
-def questions(assignment):
+def slices_to_release(assignment):
     """Return the slices whose release has to be proved, by server."""
     slices_by_server = collections.defaultdict(list)
     for index, item in enumerate(assignment.slices):
--- a/src/tarragonramp/changes.py
+++ b/src/tarragonramp/changes.py
@@ -6,25 +6,25 @@
 
 from .client import EXIT_CONFLICT, EXIT_INVALID, CommandError
 from .console import difference
-from .declarations import DECLARED_KINDS, OWN_FIELDS, read_declarations
+from .declarations import DECLARED_KINDS, SYSTEM_FIELDS, read_declarations
 from .documents import Fault
 from .model import KIND_FAILURE_DOMAIN, KIND_TEAM, KIND_TEMPLATE, VIEWED_KINDS
 
 __all__ = [
     "apply_all",
     "check_at_daemon",
-    "counted",
+    "format_faults",
     "declared_spec",
-    "kind_named",
-    "order_domain",
-    "read_all",
+    "resolve_kind",
+    "set_domain_state",
+    "read_declaration_files",
     "shown",
 ]
 
 APPLY_ORDER = (KIND_TEMPLATE, KIND_FAILURE_DOMAIN, KIND_TEAM)
 
 
-def kind_named(text):
+def resolve_kind(text):
     """Return the kind for an operator's input, ignoring case."""
     for kind in VIEWED_KINDS:
         if kind.lower() == text.lower():
@@ -33,7 +33,7 @@
     raise CommandError(EXIT_INVALID, f"unknown kind {text!r}; known are {known}")
 
 
-def read_all(files):
+def read_declaration_files(files):
     """Read the declarations of several files.
 
     Raises
@@ -51,7 +51,7 @@
         else:
             faults.extend(result.failure().faults)
     if faults:
-        raise CommandError(EXIT_INVALID, counted(faults))
+        raise CommandError(EXIT_INVALID, format_faults(faults))
     return declarations
 
 
@@ -68,10 +68,10 @@
         declarations[item["index"]].locate(Fault(item["path"], item["message"]))
         for item in found
     ]
-    raise CommandError(EXIT_INVALID, counted(faults))
+    raise CommandError(EXIT_INVALID, format_faults(faults))
 
 
-def counted(faults):
+def format_faults(faults):
     """Return faults as text, with their number."""
     lines = "\n  ".join(str(fault) for fault in faults)
     return f"{len(faults)} errors, nothing was changed\n  {lines}"
@@ -146,7 +146,7 @@
 
 def declared_spec(spec):
     """Return a stored spec without the fields that the system adds."""
-    return {key: value for key, value in spec.items() if key not in OWN_FIELDS}
+    return {key: value for key, value in spec.items() if key not in SYSTEM_FIELDS}
 
 
 def shown(stored):
@@ -162,7 +162,7 @@
     }
 
 
-def order_domain(client, failure_domain, state, **query):
+def set_domain_state(client, failure_domain, state, **query):
     """Set the state of a failure domain; return the old and new state."""
     current = client.find(KIND_FAILURE_DOMAIN, failure_domain)
     version = current["version"] if current else 0
--- a/src/tarragonramp/command.py
+++ b/src/tarragonramp/command.py
@@ -16,11 +16,11 @@
 from .changes import (
     apply_all,
     check_at_daemon,
-    counted,
     declared_spec,
-    kind_named,
-    order_domain,
-    read_all,
+    format_faults,
+    read_declaration_files,
+    resolve_kind,
+    set_domain_state,
     shown,
 )
 from .client import (
@@ -33,7 +33,7 @@
 )
 from .console import Output, audit_rows, difference, pending, rendered, table
 from .declarations import (
-    Declared,
+    DeclaredObjects,
     check_declarations,
     declarations_of,
 )
@@ -73,7 +73,7 @@
         Form of the output.
     """
     client = OperatorClient.from_config(daemon, secret_file)
-    declarations = read_all(file)
+    declarations = read_declaration_files(file)
     check_at_daemon(client, declarations)
     rows = apply_all(client, declarations)
     _print(rows, output, lambda data: table(data, ("object", "result", "version")))
@@ -103,7 +103,7 @@
     """
     client = OperatorClient.from_config(daemon, secret_file)
     found = []
-    for item in read_all(file):
+    for item in read_declaration_files(file):
         current = client.find(item.kind, item.name)
         spec = declared_spec(current["spec"]) if current else {}
         text = difference(spec, item.spec, item.label)
@@ -142,7 +142,7 @@
     output
         Form of the output.
     """
-    kind = kind_named(kind)
+    kind = resolve_kind(kind)
     client = OperatorClient.from_config(daemon, secret_file)
     if name:
         found = client.find(kind, name)
@@ -188,7 +188,7 @@
     output
         Form of the output.
     """
-    kind = kind_named(kind)
+    kind = resolve_kind(kind)
     client = OperatorClient.from_config(daemon, secret_file)
     current = client.find(kind, name)
     if current is None:
@@ -233,13 +233,13 @@
                 declarations.extend(result.value_or(()))
         if not is_successful(result):
             faults.extend(result.failure().faults)
-    found = check_declarations(declarations, Declared())
+    found = check_declarations(declarations, DeclaredObjects())
     located = [(fault, declarations[i].locate(fault)) for i, fault in found]
     # A template may be in the platform already: apply will tell.
     notes = [text for fault, text in located if _is_elsewhere(fault)]
     faults.extend(text for fault, text in located if not _is_elsewhere(fault))
     if faults:
-        raise CommandError(EXIT_INVALID, counted(faults))
+        raise CommandError(EXIT_INVALID, format_faults(faults))
     for note in notes:
         print(f"note: {note} in these files", file=sys.stderr)
     _print(rows, output, lambda data: table(data, ("file", "holds", "documents")))
@@ -395,7 +395,7 @@
         Form of the output.
     """
     client = OperatorClient.from_config(daemon, secret_file)
-    _print_order(order_domain(client, failure_domain, "out"), output)
+    _print_order(set_domain_state(client, failure_domain, "out"), output)
 
 
 def bring_back(
@@ -421,7 +421,7 @@
         Form of the output.
     """
     client = OperatorClient.from_config(daemon, secret_file)
-    _print_order(order_domain(client, failure_domain, "in"), output)
+    _print_order(set_domain_state(client, failure_domain, "in"), output)
 
 
 def declare_lost(
@@ -461,7 +461,9 @@
         )
         raise CommandError(EXIT_INVALID, message)
     client = OperatorClient.from_config(daemon, secret_file)
-    _print_order(order_domain(client, failure_domain, "lost", confirm=confirm), output)
+    _print_order(
+        set_domain_state(client, failure_domain, "lost", confirm=confirm), output
+    )
 
 
 COMMANDS = {
--- a/src/tarragonramp/daemon.py
+++ b/src/tarragonramp/daemon.py
@@ -43,7 +43,7 @@
 from .roles.audit import AuditTrail  # noqa: E402
 from .roles.control import Control  # noqa: E402
 from .roles.entry import Entry  # noqa: E402
-from .roles.gatekeeper import Forwarder, GateKeeper  # noqa: E402
+from .roles.forwarding import Forwarder, ForwardHandler  # noqa: E402
 from .roles.membership import Membership  # noqa: E402
 from .roles.news import News  # noqa: E402
 from .roles.operators import Operators  # noqa: E402
@@ -89,7 +89,7 @@
     traffic: object
     cpu: object
     metrics: object
-    gatekeeper: object = None
+    forward_handler: object = None
     peer_server: object = None
     control_server: object = None
     caller_server: object = None
@@ -118,10 +118,10 @@
         peers = GrpcPeers(pools, timing.control_timeout_ms, traffic, peer_secrets)
         membership = Membership(me, view, platform, peers, clock, timing)
         keeper = TermKeeper(view, platform, membership, clock, timing)
-        membership.on_word = keeper.on_word
-        membership.named = keeper.named
+        membership.on_ping_answer = keeper.on_ping_answer
+        membership.named_successors = keeper.named_successors
         news = News(me, view, platform, watcher, peers, clock, timing)
-        membership.on_newest = news.heard
+        membership.on_peer_version = news.on_peer_version
         backends = HttpBackends(HttpPools(traffic=traffic))
         stewards = Stewards(me, view, keeper, platform, backends, peers, clock, timing)
         planners = Planners(view, keeper, platform, peers, clock, timing)
@@ -160,11 +160,11 @@
             cpu=cpu,
             metrics=Metrics(me.name, requests, traffic, cpu),
         )
-        daemon.entry.stood_still_ms = daemon.loop_watch.stood_still_ms
+        daemon.entry.total_pause_ms = daemon.loop_watch.total_pause_ms
         gate_pools = HttpPools(
             settings.limits.answer_bytes, user_timeout_ms=timing.right_ms
         )
-        daemon.gatekeeper = GateKeeper(
+        daemon.forward_handler = ForwardHandler(
             daemon.stewards,
             view,
             keeper,
@@ -172,8 +172,8 @@
             daemon.stewards.backends.pools,
             clock,
         )
-        stewards.knows_warm = daemon.entry.knows_warm
-        forwarder = Forwarder(me, view, peers, daemon.gatekeeper)
+        stewards.is_known_warm = daemon.entry.is_known_warm
+        forwarder = Forwarder(me, view, peers, daemon.forward_handler)
         daemon.entry.forward = forwarder.send
         daemon._add_servers()
         daemon._add_gauges()
@@ -183,11 +183,11 @@
         settings, clock = self.settings, self.entry.clock
         self.peer_server = PeerServer(
             settings.peer_address,
-            self.planners.take_report,
+            self.planners.handle_report,
             self.stewards.prove_release,
             self.traffic,
             self.peer_secrets,
-            self.gatekeeper.serve,
+            self.forward_handler.serve,
         )
         application = Control(
             self.me,
@@ -237,7 +237,7 @@
 
     def _join_fleet(self):
         """Register this daemon, then start the control roles."""
-        self.news.wait_started()
+        self.news.wait_for_members()
         self.membership.register()
         for task in (
             self.membership.run_pings,
@@ -268,7 +268,7 @@
         was_ready, self.ready = self.ready, False
         log_event("daemon-draining", was_ready=was_ready)
         self.keeper.leave()
-        self.caller_server.leave()
+        self.caller_server.begin_shutdown()
         if was_ready:
             gevent.sleep(timing.unready_ms / 1000.0)
         drained = self.caller_server.drain(timing.drain_idle_ms, timing.drain_ms)
@@ -279,7 +279,7 @@
         self.peer_server.stop(timing.drain_ms)
         log_event(
             "daemon-stopped",
-            requests_cut=drained.cut,
+            requests_cut=drained.n_aborted,
             all_terms_handed_over=all_handed,
             unregistered=unregistered,
         )
--- a/src/tarragonramp/declarations.py
+++ b/src/tarragonramp/declarations.py
@@ -21,7 +21,7 @@
 __all__ = [
     "DECLARED_KINDS",
     "Declaration",
-    "Declared",
+    "DeclaredObjects",
     "check_declarations",
     "check_deletion",
     "declarations_of",
@@ -33,7 +33,7 @@
     KIND_TEAM: Team,
     KIND_FAILURE_DOMAIN: FailureDomain,
 }
-OWN_FIELDS = ("request_id", "leaving", "changed_by")
+SYSTEM_FIELDS = ("request_id", "leaving", "changed_by")
 """Fields of a stored spec that only the system may write."""
 
 RECREATE_TEAM = "delete the team, wait until it is gone, and declare it again"
@@ -72,7 +72,7 @@
 
 
 @attrs.frozen
-class Declared:
+class DeclaredObjects:
     """Existing objects that new declarations are checked against.
 
     Parameters
@@ -214,7 +214,7 @@
         faults.append(Fault("name", str(error)))
     faults += [
         Fault(f"spec.{key}", "set by the system; leave it out")
-        for key in OWN_FIELDS
+        for key in SYSTEM_FIELDS
         if key in declaration.spec
     ]
     wanted = DECLARED_KINDS[declaration.kind]
@@ -236,7 +236,7 @@
             templates[name] = item
         if kind == KIND_TEAM:
             teams[name] = item
-    return Declared(templates, teams, declared.assigned_slices)
+    return DeclaredObjects(templates, teams, declared.assigned_slices)
 
 
 def _affected_teams(items, after):
--- a/src/tarragonramp/dialect.py
+++ b/src/tarragonramp/dialect.py
@@ -6,7 +6,7 @@
 
 from .request import HOP_HEADERS, named_by_connection
 
-__all__ = ["AnswerFacts", "Dialect", "RequestFacts", "end_to_end_headers"]
+__all__ = ["ResponseFacts", "Dialect", "RequestFacts", "end_to_end_headers"]
 
 _ROUTING_HEADERS = HOP_HEADERS - {"host"}
 
@@ -18,7 +18,7 @@
     Parameters
     ----------
     request_id, host : str
-    patience_ms : float or None
+    caller_timeout_ms : float or None
         How long the caller waits for a response; None if it does not say.
     key : int or None
         Key of the request in a divided service; None if it has none.
@@ -26,12 +26,12 @@
 
     request_id: str
     host: str
-    patience_ms: float | None = None
+    caller_timeout_ms: float | None = None
     key: int | None = None
 
 
 @attrs.frozen
-class AnswerFacts:
+class ResponseFacts:
     """Data parsed from the headers of a server's response.
 
     Parameters
@@ -64,8 +64,8 @@
     def server_headers(self, headers, server, left_ms):
         """Return the headers to send to a server with a timeout of ``left_ms``."""
 
-    def read_answer(self, response):
-        """Parse the headers of a server's response into AnswerFacts."""
+    def read_response(self, response):
+        """Parse the headers of a server's response into ResponseFacts."""
 
     def refusal_headers(self, request_id, retry_after_s):
         """Return the headers of a response that the router generates itself."""
--- a/src/tarragonramp/directory.py
+++ b/src/tarragonramp/directory.py
@@ -14,7 +14,7 @@
 that expired during the outage return within two seconds; the half second allows for
 their way to this daemon."""
 
-MISSING_USE_MS = 1400.0
+MISSING_ROUTABLE_MS = 1400.0
 """How long a server whose entry is missing is still sent requests. When the store
 returns and reports expired entries, a service would otherwise have no servers until
 they have registered again. Less than the two seconds after which a server that has left
@@ -75,7 +75,7 @@
     _missing_since_ms: dict = attrs.Factory(dict)
     _by_service: dict = attrs.Factory(dict)
 
-    def take(self, server):
+    def upsert(self, server):
         """Add or replace a server's entry."""
         before = self.servers.get(server.name)
         self.servers[server.name] = server
@@ -84,12 +84,12 @@
             # Once per process: entries are written seconds apart, and an old one that
             # is read late would mark a warm server as cold again.
             self._cold_start_recorded.add(server.identity)
-            self.note_cold(server.name, server.cold_ms)
+            self.mark_cold(server.name, server.cold_ms)
         elif before is not None and before.life != server.life:
             self._cold_end_ms.pop(server.name, None)
         self._by_service.clear()
 
-    def lose(self, name, may_return=False, missing_ms=0.0):
+    def remove_server(self, name, may_return=False, missing_ms=0.0):
         """Remove a server whose entry is gone, or mark it as missing.
 
         Parameters
@@ -123,7 +123,7 @@
         limit_ms = self.clock.now_ms() - RETURN_GRACE_MS
         late = [n for n, since in self._missing_since_ms.items() if since <= limit_ms]
         for name in late:
-            self.lose(name)
+            self.remove_server(name)
         return late
 
     def set_taken_out(self, domains, warmup_of):
@@ -137,9 +137,9 @@
         self._by_service.clear()
         for server in self.servers.values():
             if server.failure_domain in returned:
-                self.note_cold(server.name, warmup_of(server.service))
+                self.mark_cold(server.name, warmup_of(server.service))
 
-    def note_cold(self, name, for_ms):
+    def mark_cold(self, name, for_ms):
         """Mark a server as cold for some time from now."""
         until_ms = self.clock.now_ms() + for_ms
         self._cold_end_ms[name] = max(self._cold_end_ms.get(name, 0.0), until_ms)
@@ -153,7 +153,7 @@
         if server.draining or server.failure_domain in self.taken_out:
             return False
         missing_ms = self.missing_ms(server.name)
-        return missing_ms is None or missing_ms < MISSING_USE_MS
+        return missing_ms is None or missing_ms < MISSING_ROUTABLE_MS
 
     def usable(self, service):
         """Return a tuple of a service's servers that may be sent requests."""
--- a/src/tarragonramp/fleet.py
+++ b/src/tarragonramp/fleet.py
@@ -26,12 +26,12 @@
 from .cold import ColdShares
 from .errors import AddressError
 from .fleet_view import FOLLOWED_KINDS, FleetView
-from .leading import LeaseTiming
+from .leadership import LeaseTiming
 from .meters import RequestMeter, TrafficMeter
 from .roles.follower import Follower
 from .roles.granter import Granter
 from .roles.leadership import Leadership
-from .roles.relay import Relay, Relays
+from .roles.relay import Relay, RelayPool
 from .roles.router import Router
 from .roles.tasks import keep_running, task_failures
 from .settings import Limits
@@ -216,9 +216,9 @@
             ports.store,
             ports.grants,
             clock,
-            Relays(view, leadership, peers, clock),
+            RelayPool(view, leadership, peers, clock),
         )
-        leadership.doubts = granter.keeper.doubts
+        leadership.in_doubt_grants = granter.tracker.in_doubt_grants
         daemon = cls(
             settings=settings,
             ports=ports,
@@ -335,7 +335,7 @@
         while True:
             gevent.sleep(10.0)
             self.router.loads.forget(self.view.directory.servers)
-            self.router.owners.forget_moves()
+            self.router.owners.forget_slow_moves()
 
     def _serve_readiness(self, environ, start_response):
         if environ["PATH_INFO"] != self.ports.ready_path:
@@ -353,13 +353,13 @@
         was_ready, self.is_ready = self.is_ready, False
         log_event("daemon-draining", was_ready=was_ready)
         gevent.spawn(self.leadership.resign)
-        self.caller_server.leave()
+        self.caller_server.begin_shutdown()
         if was_ready:
             gevent.sleep(UNREADY_MS / 1000.0)
         end_ms = began_ms + self.settings.bounds.grace_ms - GRACE_MARGIN_MS
         left_ms = max(MIN_DRAIN_MS, end_ms - self.clock.now_ms())
         drained = self.caller_server.drain(DRAIN_IDLE_MS, left_ms)
-        log_event("daemon-stopped", requests_cut=drained.cut)
+        log_event("daemon-stopped", requests_cut=drained.n_aborted)
 
     def _metrics(self):
         metrics = Metrics(self.settings.name, self.requests, self.traffic, self.cpu)
@@ -378,7 +378,7 @@
             "Kinds of objects that can't be followed.",
             lambda: len(self.follower.failing_since_ms),
         )
-        count("grants", "Grants sent.", lambda: self.granter.keeper.n_grants)
+        count("grants", "Grants sent.", lambda: self.granter.tracker.n_grants)
         count("moves", "Ranges moved.", lambda: self.granter.n_moves)
         count(
             "handovers", "Moves with handover.", lambda: self.granter.mover.n_handovers
--- a/src/tarragonramp/fleet_view.py
+++ b/src/tarragonramp/fleet_view.py
@@ -52,7 +52,7 @@
     tables: dict = attrs.Factory(dict)
     daemons: dict = attrs.Factory(dict)
     watchers: frozenset = frozenset()
-    servers_read: bool = False
+    servers_loaded: bool = False
     work: WorkCounts = attrs.Factory(WorkCounts)
     _table_versions: dict = attrs.Factory(dict)
     _changed: Event = attrs.Factory(Event)
@@ -70,25 +70,25 @@
         found = self.manifest.services.get(name) if self.manifest else None
         return found or FleetService(name)
 
-    def take_routes(self, routes):
+    def update_routes(self, routes):
         """Apply a manifest's routes; False if they are not newer."""
         current = self.manifest
         if current is not None and routes.manifest.version <= current.version:
             return False
         self.routes = routes
-        self.wake()
+        self.notify_waiters()
         return True
 
-    def take_table(self, table, version):
+    def update_table(self, table, version):
         """Apply the owners of a service's keys; False if they are not newer."""
         if version <= self._table_versions.get(table.service, 0):
             return False
         self.tables[table.service] = table
         self._table_versions[table.service] = version
-        self.wake()
+        self.notify_waiters()
         return True
 
-    def take_stored_table(self, stored):
+    def load_stored_table(self, stored):
         """Apply a range table as stored, and return it.
 
         Raises
@@ -99,10 +99,10 @@
         if self._table_versions.get(stored.name) == stored.version:
             return self.tables[stored.name]
         table = RangeTable.from_spec(stored.spec)
-        self.take_table(table, stored.version)
+        self.update_table(table, stored.version)
         return table
 
-    def take_exact_table(self, stored):
+    def reload_table(self, stored):
         """Apply a table that was read from the store itself, unless it is older.
 
         Updates from other daemons leave out raised tokens, although these change the
@@ -115,7 +115,7 @@
         """
         if stored.version >= self._table_versions.get(stored.name, 0):
             self._table_versions.pop(stored.name, None)
-            self.take_table(RangeTable.from_spec(stored.spec), stored.version)
+            self.update_table(RangeTable.from_spec(stored.spec), stored.version)
 
     def table_version(self, service):
         """Return the store's version of a service's table; 0 if there is none."""
@@ -145,7 +145,7 @@
         """Wait for a change, up to a timeout."""
         self._changed.wait(max(0.0, timeout_ms) / 1000.0)
 
-    def wake(self):
+    def notify_waiters(self):
         """Wake all tasks that wait for a change."""
         changed, self._changed = self._changed, Event()
         changed.set()
--- a/src/tarragonramp/gates.py
+++ b/src/tarragonramp/gates.py
@@ -13,12 +13,12 @@
 from .leases import CLOCK_RATE_MARGIN
 from .terms import RIGHT_MARGIN
 
-__all__ = ["Admission", "Gate", "Order", "Warmth"]
+__all__ = ["Admission", "Gate", "ForwardedRequest", "WarmupState"]
 
 MIN_DEADLINE_MS = 5.0
 """Deadlines shorter than this pass before the server has started."""
 
-WAITING_PER_SLOT = 4
+MAX_WAITING_PER_SLOT = 4
 """Requests that may wait for a server, per slot of the server.
 
 In a burst all entries forward their requests to one steward. Four rounds of work per
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Order:
+class ForwardedRequest:
     """A caller's request that is sent to a server through the server's steward.
 
     Parameters
@@ -106,7 +106,7 @@
         working on may outlast the right.
     """
 
-    warmth: object
+    warmup: object
     longest_ms: float
     earlier_right_ends_ms: float
     earlier_longest_ms: float
@@ -126,7 +126,7 @@
         self._earlier = _UnprovedRequests(since_ms, self.earlier_longest_ms)
 
     @property
-    def in_hand(self):
+    def in_flight(self):
         """Number of requests that the server is working on."""
         return self._in_flight.total()
 
@@ -137,14 +137,14 @@
         that steward's requests: in a cold start it would get twice the load that it can
         take.
         """
-        if now_ms < self.earlier_right_ends_ms and not self.warmth.is_warm(now_ms):
+        if now_ms < self.earlier_right_ends_ms and not self.warmup.is_warm(now_ms):
             return True
-        return self.in_hand >= self.warmth.width(now_ms)
+        return self.in_flight >= self.warmup.max_in_flight(now_ms)
 
     @property
-    def is_crowded(self):
+    def is_queue_full(self):
         """Whether the queue is full, so that another request is refused at once."""
-        return self.waiting >= self.warmth.slots * WAITING_PER_SLOT
+        return self.waiting >= self.warmup.slots * MAX_WAITING_PER_SLOT
 
     def admit(self, slice_index, now_ms, deadline_at_ms, right_ends_ms):
         """Decide immediately before sending whether a request may be sent.
@@ -229,7 +229,7 @@
                 unproved.probed_ms = None
         self._unproved = kept
 
-    def moved(self, now_ms):
+    def address_changed(self, now_ms):
         """Record that the server's name now refers to another address.
 
         A response from the new address proves nothing about the process at the old one,
@@ -275,7 +275,7 @@
 
 
 @attrs.define
-class Warmth:
+class WarmupState:
     """How much load a server can take, as tracked by its steward.
 
     Parameters
@@ -292,7 +292,7 @@
 
     cold_slots: int
     slots: int
-    vouched: bool = False
+    known_warm: bool = False
     boot_id: str = ""
     _warm_since_ms: float | None = None
 
@@ -306,28 +306,28 @@
             self._warm_since_ms = None
         self.boot_id = boot_id
         if not cold and self._warm_since_ms is None:
-            self._warm_since_ms = -math.inf if self.vouched else now_ms
-        self.vouched = False
+            self._warm_since_ms = -math.inf if self.known_warm else now_ms
+        self.known_warm = False
 
-    def suspect(self):
+    def invalidate(self):
         """Record that the server may be a different process than the one seen last.
 
         Closed connections show a restart at once, probes only a moment later. Until the
         next probe the server gets the load of a cold one.
         """
         self.boot_id = ""
-        self.vouched = False
+        self.known_warm = False
         self._warm_since_ms = None
 
     def shed(self, now_ms):
         """Record that the server refused a request, being less warm than reported."""
-        self.vouched = False
+        self.known_warm = False
         if self._warm_since_ms is not None:
             self._warm_since_ms = now_ms
 
-    def width(self, now_ms):
+    def max_in_flight(self, now_ms):
         """Return how many requests the server may be working on at once."""
-        if self.vouched:
+        if self.known_warm:
             return self.slots
         if self._warm_since_ms is None:
             return self.cold_slots
@@ -336,4 +336,4 @@
 
     def is_warm(self, now_ms):
         """Tell whether entries may send to the server directly."""
-        return self.width(now_ms) >= self.slots
+        return self.max_in_flight(now_ms) >= self.slots
--- a/src/tarragonramp/leading.py
+++ b/src/tarragonramp/leadership.py
@@ -8,7 +8,13 @@
 
 import attrs
 
-__all__ = ["LATE_GRANT_MS", "Inherited", "LeaderRecord", "LeaseTiming", "Standing"]
+__all__ = [
+    "LATE_GRANT_MS",
+    "InheritedGrants",
+    "LeaderRecord",
+    "LeaseTiming",
+    "LeadershipState",
+]
 
 LATE_GRANT_MS = 15_000.0
 """How long an unanswered grant may be delayed before it takes effect."""
@@ -100,7 +106,7 @@
 
 
 @attrs.frozen
-class Inherited:
+class InheritedGrants:
     """What a new leader knows of the grants of earlier leaders.
 
     Parameters
@@ -152,7 +158,7 @@
 
 
 @attrs.define
-class Standing:
+class LeadershipState:
     """What this daemon knows of the leader.
 
     Parameters
@@ -174,7 +180,7 @@
     _confirmed_ms: float = float("-inf")
     _has_given_up: bool = False
 
-    def saw(self, record, version, now_ms):
+    def observe(self, record, version, now_ms):
         """Process the record as read from the store."""
         if version != self.version:
             self.record, self.version, self._changed_ms = record, version, now_ms
--- a/src/tarragonramp/leases.py
+++ b/src/tarragonramp/leases.py
@@ -201,7 +201,7 @@
             self._fenced = self._fenced or sent_ms >= self.earlier_right_ends_ms
         return restarted
 
-    def moved(self, now_ms):
+    def address_changed(self, now_ms):
         """Record that the server's name now refers to another address.
 
         A response from the new address proves nothing about the process at the old one,
@@ -211,7 +211,7 @@
         ----------
         now_ms : float
         """
-        ends_ms = [self._has_run_out_at(item) for item in self._sent]
+        ends_ms = [self._expires_at_ms(item) for item in self._sent]
         if self.inherited_end_ms is not None:
             self.inherited_end_ms = max([self.inherited_end_ms, now_ms, *ends_ms])
         self._fenced = False
@@ -272,9 +272,9 @@
     def _has_expired(self, item, now_ms):
         if item.boot_id != self.boot_id:
             return True
-        return now_ms >= self._has_run_out_at(item)
+        return now_ms >= self._expires_at_ms(item)
 
-    def _has_run_out_at(self, item):
+    def _expires_at_ms(self, item):
         """Return when a grant has expired for certain, on the steward's clock."""
         reading = self._reading
         left_ms = item.until_ms - reading.clock_ms + END_MARGIN_MS
--- a/src/tarragonramp/manifest.py
+++ b/src/tarragonramp/manifest.py
@@ -2,14 +2,21 @@
 
 import attrs
 
-__all__ = ["CallerLimits", "FleetService", "Manifest", "Part", "Route", "RouteTable"]
+__all__ = [
+    "CallerLimits",
+    "FleetService",
+    "Manifest",
+    "WeightedService",
+    "Route",
+    "RouteTable",
+]
 
 GOLDEN_RATIO = 0.6180339887498949
 N_KEYS = 65_536
 
 
 @attrs.frozen
-class Part:
+class WeightedService:
     """One of the services that a route's requests are split among.
 
     Parameters
@@ -43,7 +50,7 @@
 
     host: str
     path_prefix: str
-    parts: tuple[Part, ...]
+    parts: tuple[WeightedService, ...]
     idempotent: bool
     timeout_ms: float
     target_ms: float
@@ -155,7 +162,7 @@
             end = path.rfind("/", 0, end)
         return None
 
-    def part_of(self, route, initial_position=0.0):
+    def choose_service(self, route, initial_position=0.0):
         """Return the service that the next request of a route goes to.
 
         Multiples of the golden ratio are spread evenly over the unit interval at any
--- a/src/tarragonramp/passes.py
+++ b/src/tarragonramp/permits.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-__all__ = ["Passes"]
+__all__ = ["DirectSendPermits"]
 
 MAX_UNCONNECTED_MS = 250.0
 """How long a permit is valid while no open connection shows that the server is the
@@ -10,7 +10,7 @@
 
 
 @attrs.define
-class Passes:
+class DirectSendPermits:
     """Servers whose stewards have reported that they can take their full load.
 
     When a server has started or come back while callers wait, entries that each know
@@ -21,19 +21,19 @@
 
     _permits: dict = attrs.Factory(dict)
 
-    def give(self, server, address, now_ms):
+    def allow(self, server, address, now_ms):
         """Record that the steward has reported a server as warm."""
         self._permits[server] = (address, now_ms)
 
-    def take(self, server):
+    def revoke(self, server):
         """Withdraw a permit after a failed exchange or a sign of a cold start."""
         self._permits.pop(server, None)
 
-    def known(self, server):
+    def contains(self, server):
         """Tell whether there is a permit, valid or not."""
         return server in self._permits
 
-    def holds(self, server, address, is_connected, now_ms):
+    def is_valid(self, server, address, is_connected, now_ms):
         """Tell whether a request may be sent directly to a server now.
 
         Guards against a server that was replaced between two requests: the only sign is
@@ -51,5 +51,5 @@
             return False
         if is_connected() or now_ms - given_ms <= MAX_UNCONNECTED_MS:
             return True
-        self.take(server)
+        self.revoke(server)
         return False
--- a/src/tarragonramp/ranges.py
+++ b/src/tarragonramp/ranges.py
@@ -11,7 +11,7 @@
 
 __all__ = ["KeyRange", "RangeTable", "TableHistory", "even_bounds", "fence_token"]
 
-GAP = 1 << 16
+TOKEN_STEP = 1 << 16
 """How much a move raises the fencing token. The values in between are used to fence the
 old owner before its release, so that it refuses delayed grants with lower tokens. Each
 attempt needs a higher token than the last, because an unanswered attempt may still be
@@ -35,7 +35,7 @@
     """
     if attempt >= MAX_FENCES_PER_TERM:
         return None
-    return old_token + 1 + (term * MAX_FENCES_PER_TERM + attempt) % (GAP - 1)
+    return old_token + 1 + (term * MAX_FENCES_PER_TERM + attempt) % (TOKEN_STEP - 1)
 
 
 @attrs.frozen
@@ -85,7 +85,7 @@
             self.last,
             owner,
             life,
-            self.token + GAP,
+            self.token + TOKEN_STEP,
             self.owner,
             self.life,
             self.token,
@@ -93,7 +93,7 @@
 
     def raised(self):
         """Return the range with a token that no process of its owner has had."""
-        return attrs.evolve(self, token=self.token + GAP)
+        return attrs.evolve(self, token=self.token + TOKEN_STEP)
 
     def has_same_routing(self, other):
         """Tell whether another state of the range routes requests in the same way.
@@ -290,7 +290,7 @@
     _versions: dict = attrs.Factory(dict)
     _changes: dict = attrs.Factory(dict)
 
-    def note(self, table, version):
+    def record(self, table, version):
         """Record a service's table as the store had it at a version."""
         kept = self._versions.setdefault(
             table.service, collections.deque(maxlen=MAX_TABLE_VERSIONS)
--- a/src/tarragonramp/removals.py
+++ b/src/tarragonramp/removals.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-__all__ = ["Removals"]
+__all__ = ["RemovalLog"]
 
 MAX_ENTRIES = 1000
 """Removals, and gaps, that are kept. Without a bound, memory would grow with each
@@ -13,14 +13,14 @@
 
 
 @attrs.define(eq=False, repr=False)
-class Removals:
+class RemovalLog:
     """Names of removed objects with the versions at which the removals were found."""
 
     _removals: list = attrs.Factory(list)
     _gaps: list = attrs.Factory(list)
     _complete_since: int = 0
 
-    def note(self, version, names):
+    def record(self, version, names):
         """Record that objects were found removed at a version."""
         self._removals += [(version, name) for name in names]
         dropped = self._removals[:-MAX_ENTRIES]
@@ -28,7 +28,7 @@
             self._complete_since = max(self._complete_since, dropped[-1][0])
             del self._removals[:-MAX_ENTRIES]
 
-    def jump(self, from_version, to_version):
+    def record_gap(self, from_version, to_version):
         """Record that all objects were read at once, which leaves a gap in the history.
 
         Objects that were both added and removed between the two versions are unknown
--- a/src/tarragonramp/request.py
+++ b/src/tarragonramp/request.py
@@ -157,16 +157,16 @@
         400 if there is no key, or more than one: the server might take another one
         than the router did, and would then act for a key that it does not own.
     """
-    divisor = service.divided_by
+    key_source = service.divided_by
     path, _, query = target.partition("?")
-    if divisor.source == "header":
-        wanted = divisor.name.lower()
+    if key_source.source == "header":
+        wanted = key_source.name.lower()
         found = [_decoded(value) for name, value in headers if name == wanted]
-    elif divisor.source == "query":
+    elif key_source.source == "query":
         fields = urllib.parse.parse_qs(query, keep_blank_values=True)
-        found = fields.get(divisor.name, [])
+        found = fields.get(key_source.name, [])
     else:
-        found = _path_keys(path, service.path_prefix, int(divisor.name))
+        found = _path_keys(path, service.path_prefix, int(key_source.name))
     if not found or not found[0]:
         raise RequestError(400, NOT_RUN, "the request carries no key")
     if len(found) > 1:
--- a/src/tarragonramp/roles/audit.py
+++ b/src/tarragonramp/roles/audit.py
@@ -22,7 +22,7 @@
 UNKNOWN = "unknown"
 NOT_DONE = "not-done"
 
-WRITE_MS = 3000
+WRITE_TIMEOUT_MS = 3000
 PRUNE_INTERVAL_WRITES = 50
 """Average number of writes between two prunings, which happen at random.
 
@@ -171,7 +171,7 @@
 
     def _put(self, name, spec, version):
         stored = Stored(KIND_AUDIT_ENTRY, name, version, spec)
-        until_ms = self.clock.now_ms() + WRITE_MS
+        until_ms = self.clock.now_ms() + WRITE_TIMEOUT_MS
         return put_until_resolved(self.platform, self.clock, stored, until_ms)
 
     def _prune(self):
--- a/src/tarragonramp/roles/control.py
+++ b/src/tarragonramp/roles/control.py
@@ -90,7 +90,9 @@
         """Return the payload that answers a neighbour's ping."""
         peer_identity = request["identity"]
         self.membership.record_ping(peer_identity)
-        self.news.heard(peer_identity.partition("#")[0], request.get("newest", 0))
+        self.news.on_peer_version(
+            peer_identity.partition("#")[0], request.get("newest", 0)
+        )
         return {
             "identity": self.me.identity,
             "taken": self.keeper.revoked_terms(peer_identity),
--- a/src/tarragonramp/roles/entry.py
+++ b/src/tarragonramp/roles/entry.py
@@ -15,16 +15,16 @@
 from ..adapters.web import (
     HEADERS_KEY,
     TARGET_KEY,
-    answer_reply,
-    caller_is_gone,
+    backend_reply,
+    caller_disconnected,
     error_reply,
     read_body,
 )
 from ..admission import ADMITTED, WAITING, Gate, Outcome, Ticket
 from ..errors import AbandonedError, NotSentError, RequestError
-from ..gates import Order
+from ..gates import ForwardedRequest
 from ..meters import ANSWERED, NOT_RUN, UNKNOWN
-from ..passes import Passes
+from ..permits import DirectSendPermits
 from ..reachability import Reachability
 from ..request import (
     COLD_HEADER,
@@ -83,7 +83,7 @@
     forward : callable
         ``forward(Order) -> Result``: sends a request through the server's steward,
         for servers that only their steward may send to.
-    stood_still_ms : callable
+    total_pause_ms : callable
         Returns the total time for which this process has been paused.
     """
 
@@ -95,10 +95,10 @@
     meter: object
     backends: object
     forward: object = None
-    stood_still_ms: object = lambda: 0.0
+    total_pause_ms: object = lambda: 0.0
     _routes: Routes = attrs.field(init=False)
     _limiters: dict = attrs.Factory(dict)
-    _direct_permits: Passes = attrs.Factory(Passes)
+    _direct_permits: DirectSendPermits = attrs.Factory(DirectSendPermits)
     _reachability: dict = attrs.Factory(lambda: collections.defaultdict(Reachability))
     _outlier_detectors: dict = attrs.Factory(lambda: collections.defaultdict(Ejections))
     _rng: random.Random = attrs.Factory(random.Random)
@@ -127,7 +127,7 @@
         finally:
             self.meter.finish(times, outcome, self.clock.now_ms())
         headers = answer_headers(answer, assigned_id)
-        return answer_reply(start_response, environ["REQUEST_METHOD"], answer, headers)
+        return backend_reply(start_response, environ["REQUEST_METHOD"], answer, headers)
 
     def _serve(self, environ, assigned_id, times):
         path = environ["PATH_INFO"]
@@ -155,7 +155,7 @@
             request_id=assigned_id,
             deadline_at_ms=times.began_ms + caller_timeout_ms,
             caller_class=caller_class,
-            is_wanted=lambda: not caller_is_gone(environ),
+            is_wanted=lambda: not caller_disconnected(environ),
             times=times,
         )
 
@@ -273,7 +273,7 @@
         limiter = self._limiters.get(server)
         if limiter is None:
             limiter = self._limiters[server] = Gate(
-                slots, connections, n_entries, stood_still_ms=self.stood_still_ms
+                slots, connections, n_entries, total_pause_ms=self.total_pause_ms
             )
         else:
             limiter.resize(slots, connections, n_entries)
@@ -352,7 +352,7 @@
 
     def _exchange(self, route, request, limiter, outliers=None):
         """Send an admitted request once, and release its slot."""
-        sent_ms, paused_before_ms = self.clock.now_ms(), self.stood_still_ms()
+        sent_ms, paused_before_ms = self.clock.now_ms(), self.total_pause_ms()
         outcome = Outcome.CANCELLED
         server_reachability = self._reachability[route.server]
         number, answered = server_reachability.sent(sent_ms), False
@@ -365,7 +365,7 @@
             now_ms = self.clock.now_ms()
             request.times.service_ms += now_ms - sent_ms
             # Exclude pauses of this process from the server's latency.
-            took_ms = now_ms - sent_ms - (self.stood_still_ms() - paused_before_ms)
+            took_ms = now_ms - sent_ms - (self.total_pause_ms() - paused_before_ms)
             server_reachability.ended(number, answered, now_ms)
             _notify(limiter.leave(outcome, took_ms, now_ms))
             if outliers is not None and outcome == Outcome.ANSWERED:
@@ -401,7 +401,7 @@
         elif not isinstance(result.failure(), AbandonedError):
             # Only a direct exchange counts: a failure on the path through the steward
             # says nothing about the server.
-            self._direct_permits.take(route.server)
+            self._direct_permits.revoke(route.server)
         return result
 
     def _retry_after_s(self):
@@ -413,9 +413,9 @@
 
     def _may_send_directly(self, route):
         """Return whether a request may bypass the server's steward."""
-        return self.forward is None or self.knows_warm(route.server, route.address)
+        return self.forward is None or self.is_known_warm(route.server, route.address)
 
-    def knows_warm(self, server, address):
+    def is_known_warm(self, server, address):
         """Return whether a server is known to be warm and still the same process.
 
         Parameters
@@ -428,9 +428,9 @@
             # A single request in flight may be the asking one, not connected yet.
             if limiter is not None and limiter.in_flight > 1:
                 return True
-            return self.pools.at(address).has_live_idle()
+            return self.pools.at(address).has_open_idle()
 
-        return self._direct_permits.holds(
+        return self._direct_permits.is_valid(
             server, address, is_connected, self.clock.now_ms()
         )
 
@@ -438,9 +438,9 @@
         """Record the cold-start hints in a response; return the response."""
         shed = answer.header(OUTCOME_HEADER) == NOT_RUN and answer.status == 503
         if shed or answer.header(COLD_HEADER):
-            self._direct_permits.take(route.server)
+            self._direct_permits.revoke(route.server)
         elif answer.header(DIRECT_HEADER):
-            self._direct_permits.give(route.server, route.address, self.clock.now_ms())
+            self._direct_permits.allow(route.server, route.address, self.clock.now_ms())
         return answer
 
     def _exclude_busy_cold_servers(self, routes):
@@ -455,12 +455,12 @@
         free = [
             route
             for route in routes
-            if self._direct_permits.known(route.server) or not self._load_of(route)
+            if self._direct_permits.contains(route.server) or not self._load_of(route)
         ]
         return free or routes
 
     def _forward(self, route, request, headers, left_ms):
-        forwarded_request = Order(
+        forwarded_request = ForwardedRequest(
             *route.service,
             route.server,
             route.slice_index,
--- a/src/tarragonramp/roles/follower.py
+++ b/src/tarragonramp/roles/follower.py
@@ -20,7 +20,7 @@
 from ..manifest import RouteTable
 from ..model import Stored
 from ..ranges import RangeTable, TableHistory
-from ..removals import Removals
+from ..removals import RemovalLog
 from ..roster import Roster
 
 __all__ = ["Follower"]
@@ -162,7 +162,7 @@
             gevent.sleep(0.25)
             for name in self.view.directory.drop_missing():
                 log_event("server-gone", server=name, reason="not back after outage")
-                self.view.wake()
+                self.view.notify_waiters()
 
     @property
     def roster(self):
@@ -177,7 +177,7 @@
         """Whether all kinds have been read at least once."""
         return all(kind in self.versions for kind in FOLLOWED_KINDS)
 
-    def news_since(self, versions):
+    def updates_since(self, versions):
         """Return the changes since some versions, as plain data.
 
         Parameters
@@ -236,7 +236,7 @@
         base_version, spec = changes
         return [item.name, item.version, spec, base_version]
 
-    def take_news(self, updates):
+    def apply_updates(self, updates):
         """Apply the updates of another daemon.
 
         Raises
@@ -270,7 +270,7 @@
             self._replace(kind, found["version"], kept, "peer", missing_ms)
 
     def _removals_of(self, kind):
-        return self._removals.setdefault(kind, Removals())
+        return self._removals.setdefault(kind, RemovalLog())
 
     def _note_peer_failure_age(self, age_ms):
         """Adopt the age of a store failure that another daemon reports, if it is later.
@@ -328,7 +328,7 @@
             self._to_reread.add(kind)
             return True
         if is_successful(result):
-            self._change(kind, *result.unwrap())
+            self._apply_changes(kind, *result.unwrap())
             return True
         error = result.failure()
         # A new watch from the same version is not enough: a failing store may have
@@ -383,7 +383,7 @@
             return
         try:
             log_event("news-from-peer", kind=kind, version=updates[kind]["version"])
-            self.take_news(updates)
+            self.apply_updates(updates)
         except (KeyError, TypeError, ValueError) as error:
             log_event("news-not-understood", peer=address, reason=repr(error))
 
@@ -411,7 +411,7 @@
         self._last_failure_ms = now_ms
         if kind not in self.failing_since_ms:
             self.failing_since_ms[kind] = now_ms
-            self.view.wake()
+            self.view.notify_waiters()
             log_event("store-lost", level=logbook.WARNING, kind=kind, reason=str(error))
 
     def _failure_age_ms(self):
@@ -429,13 +429,13 @@
         if version < self.versions.get(kind, 0):
             return
         before = self.objects.get(kind, {})
-        self._removals_of(kind).jump(self.versions.get(kind, -1), version)
+        self._removals_of(kind).record_gap(self.versions.get(kind, -1), version)
         self.versions[kind] = version
         self.objects[kind] = {item.name: item for item in items}
         if kind not in self.changed or before != self.objects[kind]:
             self.changed[kind] = version
         gone = set(before) - set(self.objects[kind])
-        self._removals_of(kind).note(version, gone)
+        self._removals_of(kind).record(version, gone)
         if kind == SERVER:
             self._remove_servers(gone, missing_ms or {})
         for item in items:
@@ -444,10 +444,10 @@
         if kind == TAKEN_OUT:
             self._apply_domains()
         if kind == SERVER:
-            self.view.servers_read = True
-        self.view.wake()
+            self.view.servers_loaded = True
+        self.view.notify_waiters()
 
-    def _change(self, kind, version, items):
+    def _apply_changes(self, kind, version, items):
         if kind not in self.versions:
             # The state was discarded during the watch, and changes alone are not
             # enough.
@@ -468,14 +468,14 @@
         # Removals of objects missing in a paged list are recorded as well: other
         # daemons may know the objects.
         removed = [item.name for item in items if item.spec is None]
-        self._removals_of(kind).note(version, removed)
+        self._removals_of(kind).record(version, removed)
         if kind == SERVER:
             self._remove_servers(gone, {})
         if kind == TAKEN_OUT:
             self._apply_domains()
         if items:
             self.changed[kind] = version
-            self.view.wake()
+            self.view.notify_waiters()
 
     def _remove_servers(self, names, missing_ms):
         has_failed_lately = self._failure_age_ms() is not None
@@ -484,7 +484,7 @@
             if name in self.view.directory.servers:
                 log_event("server-gone", server=name, may_return=may_return)
             missing_for_ms = missing_ms.get(name, 0.0)
-            self.view.directory.lose(name, may_return, missing_for_ms)
+            self.view.directory.remove_server(name, may_return, missing_for_ms)
 
     def _apply(self, item, via):
         if item.kind == MANIFEST and item.name == MANIFEST_NAME:
@@ -500,7 +500,7 @@
             self._log_unreadable(item, result.failure())
             return
         manifest = result.unwrap()
-        if self.view.take_routes(RouteTable(manifest)):
+        if self.view.update_routes(RouteTable(manifest)):
             log_event(
                 "manifest-in-force",
                 manifest=manifest.version,
@@ -517,7 +517,7 @@
         server, directory = result.unwrap(), self.view.directory
         before = directory.servers.get(server.name)
         missing_ms = directory.missing_ms(server.name)
-        directory.take(server)
+        directory.upsert(server)
         if missing_ms is not None:
             log_event(
                 "server-returned",
@@ -548,7 +548,7 @@
 
     def _apply_ranges(self, item):
         try:
-            self.history.note(self.view.take_stored_table(item), item.version)
+            self.history.record(self.view.load_stored_table(item), item.version)
         except ValueError as error:
             self._log_unreadable(item, error)
 
--- a/src/tarragonramp/roles/gatekeeper.py
+++ b/src/tarragonramp/roles/forwarding.py
@@ -9,17 +9,17 @@
 from returns.pipeline import is_successful
 from returns.result import Failure, Result, Success
 
-from ..adapters.http import Answer
+from ..adapters.http import Response
 from ..adapters.logs import log_event
 from ..assignments import may_grant
 from ..errors import NotSentError
-from ..gates import Order
+from ..gates import ForwardedRequest
 from ..meters import NOT_RUN
 from ..model import OWNED
 from ..request import COLD_HEADER, DIRECT_HEADER, OUTCOME_HEADER
 from ..view import steward_role
 
-__all__ = ["Forwarder", "GateKeeper"]
+__all__ = ["Forwarder", "ForwardHandler"]
 
 STALE_ROUTE_STATUS = 409
 BUSY_STATUS = 503
@@ -29,7 +29,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class GateKeeper:
+class ForwardHandler:
     """The steward's side: sends forwarded requests to the servers it manages.
 
     Parameters
@@ -71,8 +71,8 @@
         if managed is None:
             return _refusal(request, STALE_ROUTE_STATUS, "not this server's steward")
         pools = (self.pools, self.control_pools)
-        if any(pool.at(managed.vm.address).has_lost_idle() for pool in pools):
-            managed.gate.warmth.suspect()
+        if any(pool.at(managed.vm.address).has_closed_idle() for pool in pools):
+            managed.gate.warmup.invalidate()
         wait_until_ms = deadline_at_ms
         if request.slice_index < 0:
             # Requests to shared services can be retried at another server.
@@ -98,7 +98,7 @@
         """Wait for a free slot of the server; False if none is free in time."""
         if not gate.is_full(self.clock.now_ms()):
             return True
-        if gate.is_crowded:
+        if gate.is_queue_full:
             return False
         gate.waiting += 1
         try:
@@ -161,19 +161,19 @@
             if ended:
                 managed.gate.answered(request.slice_index)
             else:
-                managed.gate.warmth.suspect()
+                managed.gate.warmup.invalidate()
                 managed.gate.unanswered(request.slice_index, self.clock.now_ms())
             self._wake_waiting()
 
     def _mark_direct(self, managed, answer):
         """Return a response, marked if the entry may send to the server directly."""
         now_ms = self.clock.now_ms()
-        warmth = managed.gate.warmth
+        warmup = managed.gate.warmup
         if answer.header(OUTCOME_HEADER) == NOT_RUN and answer.status == BUSY_STATUS:
-            warmth.shed(now_ms)
+            warmup.shed(now_ms)
         if answer.header(COLD_HEADER):
-            warmth.suspect()
-        if not managed.checks or not warmth.is_warm(now_ms):
+            warmup.invalidate()
+        if not managed.checks or not warmup.is_warm(now_ms):
             return answer
         return attrs.evolve(answer, headers=(*answer.headers, (DIRECT_HEADER, "1")))
 
@@ -191,15 +191,15 @@
     me : Member
     view : View
     peers : Peers
-    gatekeeper : GateKeeper
+    gatekeeper : ForwardHandler
     """
 
     me: object
     view: object
     peers: object
-    gatekeeper: object
+    forward_handler: object
 
-    def send(self, request: Order) -> Result:
+    def send(self, request: ForwardedRequest) -> Result:
         """Send a request through the server's steward; returns the steward's result."""
         term = self.view.term(
             steward_role(request.team, request.service, request.server)
@@ -207,7 +207,7 @@
         if term is None or not term.holder:
             return Failure(NotSentError("the server has no steward"))
         if term.holder == self.me.identity:
-            return self.gatekeeper.serve(request)
+            return self.forward_handler.serve(request)
         member = self.view.member_of(term.holder)
         if member is None:
             return Failure(NotSentError("the server's steward is not known"))
@@ -224,4 +224,4 @@
         reason=reason,
     )
     body = f"not run: {reason}\n".encode()
-    return Success(Answer(status, ((OUTCOME_HEADER, NOT_RUN),), body))
+    return Success(Response(status, ((OUTCOME_HEADER, NOT_RUN),), body))
--- a/src/tarragonramp/roles/granter.py
+++ b/src/tarragonramp/roles/granter.py
@@ -24,7 +24,7 @@
 )
 from ..fleet_view import RANGES
 from ..hotspots import busy_servers, spread_heat
-from .grants import GrantKeeper
+from .grants import GrantTracker
 from .mover import Mover
 from .relay import MIN_RANGES, has_no_connection
 from .tasks import keep_running
@@ -81,7 +81,7 @@
     grants: object
     clock: object
     relays: object
-    keeper: GrantKeeper = attrs.field(init=False)
+    tracker: GrantTracker = attrs.field(init=False)
     mover: Mover = attrs.field(init=False)
     n_moves: int = 0
     _renewal_tasks: dict = attrs.Factory(dict)
@@ -89,39 +89,39 @@
     _raise_requests: set = attrs.Factory(set)
     _last_rebalance_ms: dict = attrs.Factory(dict)
     _tables_read: set = attrs.Factory(set)
-    _work: Event = attrs.Factory(Event)
+    _wake_up: Event = attrs.Factory(Event)
     _rng: random.Random = attrs.Factory(random.Random)
 
     def __attrs_post_init__(self):
         """Create the parts that track grants and carry out moves."""
-        self.keeper = GrantKeeper(self.view, self.leadership, self.grants, self.clock)
-        self.mover = Mover(self.view, self.keeper, self.clock, self._work.set)
+        self.tracker = GrantTracker(self.view, self.leadership, self.grants, self.clock)
+        self.mover = Mover(self.view, self.tracker, self.clock, self._wake_up.set)
 
     def run(self):
         """Plan and start moves and renewals, forever."""
         while True:
             if self.leadership.leads:
-                if self.keeper.begin_term():
+                if self.tracker.begin_term():
                     self.mover.begin_term()
                     self._candidates_seen.clear()
                     self._raise_requests.clear()
                     self._tables_read.clear()
                 asked = set(self._raise_requests)
                 for service in self._services():
-                    if self._is_read(service):
+                    if self._ensure_table_read(service):
                         self._advance(service)
                 self._raise_requests -= asked
-            if self._work.wait(PLAN_INTERVAL_MS / 1000.0):
+            if self._wake_up.wait(PLAN_INTERVAL_MS / 1000.0):
                 gevent.sleep(BATCH_MS / 1000.0)
-            self._work.clear()
+            self._wake_up.clear()
 
     def _services(self):
         manifest = self.view.manifest
-        if manifest is None or not self.view.servers_read:
+        if manifest is None or not self.view.servers_loaded:
             return []
         return [name for name, s in manifest.services.items() if s.divided]
 
-    def _is_read(self, service):
+    def _ensure_table_read(self, service):
         """Return whether the table has been read in this term; read it if it has not.
 
         A table known from before may lack the previous leader's last moves. Acting on
@@ -220,7 +220,7 @@
             whole = table.find(item.first)
             if whole.first != item.first:
                 token = item.old_token if item.is_moving else item.token
-                self.keeper.copy_to_piece(service, whole.first, item.first, token)
+                self.tracker.copy_to_piece(service, whole.first, item.first, token)
 
     def _due_token_raises(self, service, table):
         """Return the ranges whose tokens are to be raised now."""
@@ -235,7 +235,7 @@
     def _with_raised_tokens(self, service, items):
         """Return ranges with raised tokens, after preparing their grant records."""
         for item in items:
-            self.keeper.copy_to_raised_token(service, item)
+            self.tracker.copy_to_raised_token(service, item)
         if items:
             log_event(
                 "tokens-raised",
@@ -252,8 +252,8 @@
         known yet.
         """
         return (
-            self.keeper.is_current(service, item)
-            and not self.keeper.is_unsent(service, item)
+            self.tracker.is_current(service, item)
+            and not self.tracker.is_unsent(service, item)
             and not self.mover.is_released(service, item)
         )
 
@@ -283,7 +283,7 @@
         usable = directory.usable(service)
         warm = [server for server in usable if not directory.is_cold(server.name)]
         reached = [
-            s for s in warm or usable if not self.keeper.is_unreachable(s.identity)
+            s for s in warm or usable if not self.tracker.is_unreachable(s.identity)
         ]
         return [
             Candidate(
@@ -307,9 +307,9 @@
             return False
         if not self.view.directory.may_serve(server):
             return False
-        if not self.keeper.is_unreachable(server.identity):
+        if not self.tracker.is_unreachable(server.identity):
             return True
-        return not self.keeper.time_proves(service, item.first, item.token)
+        return not self.tracker.have_expired(service, item.first, item.token)
 
     def _assign_initially(self, service, candidates):
         now_ms = self.clock.now_ms()
@@ -336,9 +336,9 @@
         version = self.view.table_version(service)
         result = self.store.put(RANGES, service, table.to_spec(), version)
         if is_successful(result):
-            self.view.take_table(table, result.unwrap().version)
+            self.view.update_table(table, result.unwrap().version)
             for item in renewed:
-                self.keeper.note_new(service, item)
+                self.tracker.mark_unsent(service, item)
             return table
         error = result.failure()
         log_event("table-not-written", service=service, reason=str(error))
@@ -352,14 +352,14 @@
 
     def _apply_stored_table(self, stored):
         try:
-            self.view.take_exact_table(stored)
+            self.view.reload_table(stored)
         except ValueError as error:
             log_event("entry-not-understood", kind=RANGES, reason=str(error))
 
     def _renew_until_done(self, service, identity):
         """Renew the ranges of one server until it has none or another daemon leads."""
         key = service, identity
-        connection_state, retry_ms = self.keeper.connection_state(identity), RETRY_MS
+        connection_state, retry_ms = self.tracker.connection_state(identity), RETRY_MS
         while self.leadership.leads:
             began_ms = self.clock.now_ms()
             owned = self._ranges_of(service, identity)
@@ -367,7 +367,9 @@
                 break
             # The flag is kept until tokens are raised: a closed connection is reported
             # only once.
-            connection_state.is_broken |= self.keeper.has_lost(service, identity[0])
+            connection_state.is_broken |= self.tracker.has_closed_connection(
+                service, identity[0]
+            )
             if connection_state.is_broken and not self._raise_tokens(service, owned):
                 break
             connection_state.is_broken = False
@@ -410,7 +412,7 @@
         raised = [
             item
             for item in self._ranges_of(service, identity)
-            if self.keeper.is_unsent(service, item)
+            if self.tracker.is_unsent(service, item)
         ]
         return self._renew_server(service, identity, raised, connection_state)
 
@@ -433,7 +435,7 @@
             if not pending:
                 return True
             self._raise_requests |= pending
-            self._work.set()
+            self._wake_up.set()
             while pending & self._raise_requests and self.leadership.may_move:
                 gevent.sleep(BATCH_MS / 1000.0)
             if any(self._needs_token_raise(service, item) for item in items):
@@ -477,7 +479,7 @@
         if not relay:
             return self._renew_directly(service, due, connection_state)
         send = functools.partial(self.relays.send, relay)
-        results = self.keeper.renew_via_relay(send, service, owner, due)
+        results = self.tracker.renew_via_relay(send, service, owner, due)
         unconfirmed = [
             (item, result)
             for item, result in zip(due, results, strict=True)
@@ -510,24 +512,24 @@
 
     def _is_due(self, service, item):
         """Return whether a range is to be renewed now."""
-        if not self.keeper.is_current(service, item):
+        if not self.tracker.is_current(service, item):
             return False
         if self.mover.is_released(service, item):
             return False
-        return (service, item.first, item.token) not in self.keeper.refused
+        return (service, item.first, item.token) not in self.tracker.refused
 
     def _handle_renewal(self, service, item, result, connection_state):
         """Process the result of a renewal; return whether the owner responded."""
         if is_successful(result):
-            self.keeper.mark_reachable(item.owner, connection_state)
+            self.tracker.mark_reachable(item.owner, connection_state)
             return True
         if not isinstance(result.failure(), OvertakenGrantError):
             return False
-        if not self.keeper.is_current(service, item):
+        if not self.tracker.is_current(service, item):
             # The range was split or moved meanwhile: the higher token belongs to
             # another piece.
             return True
-        self.keeper.refused.add((service, item.first, item.token))
+        self.tracker.refused.add((service, item.first, item.token))
         log_event(
             "grant-overtaken",
             level=logbook.WARNING,
@@ -542,7 +544,7 @@
         """Renew one range and record the outcome in ``connection_state``."""
         if not self._is_due(service, item):
             return
-        result = self.keeper.grant(service, item, item.owner, item.token)
+        result = self.tracker.grant(service, item, item.owner, item.token)
         if self._handle_renewal(service, item, result, connection_state):
             return
         if has_no_connection(result):
--- a/src/tarragonramp/roles/grants.py
+++ b/src/tarragonramp/roles/grants.py
@@ -19,10 +19,10 @@
     UnansweredError,
     WrongServerError,
 )
-from ..leading import LATE_GRANT_MS
+from ..leadership import LATE_GRANT_MS
 from ..ranges import fence_token
 
-__all__ = ["GrantKeeper"]
+__all__ = ["GrantTracker"]
 
 GRANT_TIMEOUT_MS = 1000.0
 """Timeout of a grant. A server normally responds within a millisecond."""
@@ -94,7 +94,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class GrantKeeper:
+class GrantTracker:
     """Sends grants and releases, and records until when each grant may be held.
 
     Parameters
@@ -202,7 +202,7 @@
         key = service, item.first, token
         is_new_token = record is not None or key in self._unsent
         self._unsent.discard(key)
-        state = self._held_of(service, item.first, record or token)
+        state = self._state_of(service, item.first, record or token)
         hold_ms = self.timing.hold_ms if hold_ms is None else hold_ms
         sent_ms = self.clock.now_ms()
         state.n_in_flight += 1
@@ -221,7 +221,7 @@
             )
         finally:
             state.n_in_flight -= 1
-        self._note(state, sent_ms, result)
+        self._record_outcome(state, sent_ms, result)
         if is_new_token and record is None:
             self._restore_unsent(key, result)
         return result
@@ -248,7 +248,7 @@
         keys = [(service, item.first, item.token) for item in items]
         are_new_tokens = [key in self._unsent for key in keys]
         self._unsent.difference_update(keys)
-        states = [self._held_of(*key) for key in keys]
+        states = [self._state_of(*key) for key in keys]
         sent_ms = self.clock.now_ms()
         for state in states:
             state.n_in_flight += 1
@@ -258,7 +258,7 @@
             for state in states:
                 state.n_in_flight -= 1
         for state, result in zip(states, results, strict=True):
-            self._note(state, sent_ms, result)
+            self._record_outcome(state, sent_ms, result)
         for key, is_new_token, result in zip(
             keys, are_new_tokens, results, strict=True
         ):
@@ -272,7 +272,7 @@
         if failed and isinstance(result.failure(), NotSentError):
             self._unsent.add(key)
 
-    def note_new(self, service, item):
+    def mark_unsent(self, service, item):
         """Record that no server has been sent the token of a range yet."""
         self._unsent.add((service, item.first, item.token))
 
@@ -286,10 +286,10 @@
         The owner stays the same, so what it may hold under the current token counts for
         the higher one, too.
         """
-        state = self._held_of(service, item.first, item.token)
+        state = self._state_of(service, item.first, item.token)
         self._grant_states[service, item.first, item.raised().token] = state
 
-    def _note(self, state, sent_ms, result):
+    def _record_outcome(self, state, sent_ms, result):
         """Record the outcome of a grant."""
         self.n_grants += 1
         if is_successful(result):
@@ -300,7 +300,7 @@
             state.sent_ms = self.clock.now_ms()
             state.in_doubt_until_ms = sent_ms + LATE_GRANT_MS
 
-    def _held_of(self, service, first, token):
+    def _state_of(self, service, first, token):
         key = service, first, token
         state = self._grant_states.get(key)
         if state is None:
@@ -318,12 +318,12 @@
         from then on. Assuming that a piece is held for too long only delays its next
         move; assuming too short a hold would allow two owners.
         """
-        state = self._held_of(service, whole_first, token)
+        state = self._state_of(service, whole_first, token)
         self._grant_states[service, first, token] = state
         if (service, whole_first, token) in self._unsent:
             self._unsent.add((service, first, token))
 
-    def doubts(self):
+    def in_doubt_grants(self):
         """Return the InheritedGrants for the next leader: all grants still in doubt."""
         before, now_ms = self.leadership.inherited, self.clock.now_ms()
         ranges = dict(before.ranges)
@@ -377,7 +377,7 @@
         if not address:
             return NO_ADDRESS
         token = item.old_token
-        state = self._held_of(service, item.first, token)
+        state = self._state_of(service, item.first, token)
         with self._release_slots[address]:
             if not self.may_act(service, item):
                 return NO_LONGER_LEADS
@@ -432,13 +432,13 @@
             )
         return result.map(lambda _: token)
 
-    def time_proves(self, service, first, token):
+    def have_expired(self, service, first, token):
         """Return whether all grants of a range under a token have expired.
 
         Grants without a response, and grants still in flight, count as held: a server
         that is unreachable now may have received one earlier and carry it out later.
         """
-        state = self._held_of(service, first, token)
+        state = self._state_of(service, first, token)
         if state.n_in_flight:
             return False
         end_ms = state.sent_ms + self.timing.longest_hold_ms
@@ -457,7 +457,7 @@
             for other in self.view.directory.servers.values()
         )
 
-    def has_lost(self, service, name):
+    def has_closed_connection(self, service, name):
         """Return whether a server has closed the connection that its grants use."""
         address = self._address(service, name)
-        return bool(address) and self.grants.has_lost(address)
+        return bool(address) and self.grants.has_closed_connection(address)
--- a/src/tarragonramp/roles/leadership.py
+++ b/src/tarragonramp/roles/leadership.py
@@ -10,12 +10,12 @@
 from ..adapters.logs import log_event
 from ..errors import ConflictError, NotFoundError
 from ..heat import HeatCounts
-from ..leading import (
+from ..leadership import (
     LATE_GRANT_MS,
-    Inherited,
+    InheritedGrants,
     LeaderRecord,
+    LeadershipState,
     LeaseTiming,
-    Standing,
 )
 
 __all__ = ["Leadership"]
@@ -126,10 +126,10 @@
     clock: object
     seeds: tuple = ()
     timing: LeaseTiming = LeaseTiming()
-    standing: Standing = attrs.field(init=False)
+    standing: LeadershipState = attrs.field(init=False)
     stopping: bool = False
-    inherited: Inherited = Inherited()
-    doubts: object = Inherited
+    inherited: InheritedGrants = InheritedGrants()
+    in_doubt_grants: object = InheritedGrants
     _key_loads: HeatCounts = attrs.Factory(HeatCounts)
     _reported_loads: dict = attrs.Factory(dict)
     _last_heard_ms: dict = attrs.Factory(dict)
@@ -144,7 +144,7 @@
 
     def __attrs_post_init__(self):
         """Start without a known leader."""
-        self.standing = Standing(self.address, self.boot_id, self.timing)
+        self.standing = LeadershipState(self.address, self.boot_id, self.timing)
         self.view.daemons[self.name] = self.address
 
     @property
@@ -166,7 +166,7 @@
         """Lead, or follow the leader, forever."""
         while True:
             if self.standing.is_named:
-                self._keep()
+                self._renew_record()
                 pause_ms = self.timing.renew_ms
             elif self.standing.record is None:
                 self._discover_leader()
@@ -224,7 +224,7 @@
         age_ms = self.standing.confirmed_age_ms(self.clock.now_ms())
         return age_ms < 2 * self.timing.renew_ms
 
-    def heard(self, message):
+    def handle_ping(self, message):
         """Handle a ping, and respond once there are updates for the sender.
 
         Returns
@@ -241,9 +241,9 @@
             }
         if name not in self.view.daemons:
             log_event("daemon-heard", peer=name, address=address)
-        self._note_daemon(name, address)
+        self._record_daemon(name, address)
         self._domains[name] = message.get("domain", "")
-        self.note_clock(address, message.get("clock_ms"))
+        self.record_clock_reading(address, message.get("clock_ms"))
         self._key_loads.add(message.get("heat", {}), self.clock.now_ms())
         self._reported_loads[name] = message.get("loads", {}), self.clock.now_ms()
         self.follower.compare_digests(name, message.get("digest", {}))
@@ -277,7 +277,7 @@
         is_watcher = not had_store and name in self.view.watchers
         wait_ms = WATCHER_REPORT_MS if is_watcher else self._update_wait_ms()
         until_ms = self.clock.now_ms() + wait_ms
-        updates = self.follower.news_since(versions)
+        updates = self.follower.updates_since(versions)
         while not updates and self.leads and not self.stopping:
             now_ms = self.clock.now_ms()
             if now_ms >= until_ms or had_store != self._hears_store(now_ms):
@@ -286,7 +286,7 @@
             if had_store:
                 left_ms = min(left_ms, self._ms_until_store_lost(now_ms))
             self.view.wait(left_ms)
-            updates = self.follower.news_since(versions)
+            updates = self.follower.updates_since(versions)
         return updates
 
     def _update_wait_ms(self):
@@ -350,7 +350,7 @@
             and name in self.view.daemons
         ]
 
-    def note_clock(self, address, clock_ms):
+    def record_clock_reading(self, address, clock_ms):
         """Record the clock reading in a daemon's ping."""
         self._clock_readings_ms[address] = clock_ms
 
@@ -367,15 +367,15 @@
         replaces it, and until then the leader learns from them what has changed.
         """
         oldest_ms = now_ms - RECENTLY_HEARD_MS
-        heard = [name for name, ms in self._last_heard_ms.items() if ms >= oldest_ms]
-        others = sorted(name for name in heard if name != self.name)
+        recent = [name for name, ms in self._last_heard_ms.items() if ms >= oldest_ms]
+        others = sorted(name for name in recent if name != self.name)
         n_watchers = 1 if self._hears_store(now_ms) else WATCHERS_WHEN_CUT_OFF
         # Names of one failure domain are adjacent, so a step selects from each of them.
         step = max(1, len(others) // n_watchers)
         self.view.watchers = frozenset(others[::step][:n_watchers])
         return self.view.watchers
 
-    def told_to_step_down(self, term, successor=""):
+    def handle_step_down(self, term, successor=""):
         """Stop leading, since the daemon at the given address has a later term.
 
         Returns
@@ -389,14 +389,14 @@
             self.standing.give_up()
             self._successor = successor
             self._unanswered_pings = 0 if successor else MAX_UNANSWERED_PINGS
-        doubts = self.doubts().to_message(self.clock.now_ms())
+        in_doubt_grants = self.in_doubt_grants().to_message(self.clock.now_ms())
         leads = self.standing.is_named
-        return {"boot_id": self.boot_id, "leads": leads, "doubts": doubts}
+        return {"boot_id": self.boot_id, "leads": leads, "doubts": in_doubt_grants}
 
     def heat_of(self, service):
         return self._key_loads.heat_of(service, self.clock.now_ms())
 
-    def _note_daemon(self, name, address):
+    def _record_daemon(self, name, address):
         now_ms = self.clock.now_ms()
         self.view.daemons[name] = address
         self._last_heard_ms[name] = now_ms
@@ -407,7 +407,7 @@
                 self._clock_readings_ms.pop(self.view.daemons.pop(other, None), None)
                 log_event("daemon-lost", peer=other)
 
-    def _keep(self):
+    def _renew_record(self):
         """Renew the record, so that the other daemons see its version change."""
         sent_ms = self.clock.now_ms()
         version = self.standing.version
@@ -500,7 +500,7 @@
         if version != self.standing.version:
             self._unanswered_pings = 0
             self._successor = ""
-        self.standing.saw(record, version, self.clock.now_ms())
+        self.standing.observe(record, version, self.clock.now_ms())
 
     def _take_over(self):
         before = self.standing.record
@@ -535,7 +535,7 @@
             in_doubt_ms=round(self.inherited.in_doubt_until_ms - self.clock.now_ms()),
             ranges_in_doubt=len(self.inherited.ranges),
         )
-        self.view.wake()
+        self.view.notify_waiters()
 
     def _latest_right_end_ms(self):
         """Return when a leader that was confirmed until now has to stop renewing."""
@@ -544,7 +544,7 @@
 
     def _inherited_after(self, stopped_ms):
         """Return the inherited grants if only elapsed time shows a stop."""
-        return Inherited(stopped_ms, stopped_ms + LATE_GRANT_MS)
+        return InheritedGrants(stopped_ms, stopped_ms + LATE_GRANT_MS)
 
     def _inherit(self, before, term):
         """Return when the previous leader has stopped, and its grants in doubt.
@@ -562,7 +562,7 @@
             nobody_led_before = not self.standing.version
             right_ms = self._latest_right_end_ms()
             return (
-                Inherited(now_ms)
+                InheritedGrants(now_ms)
                 if nobody_led_before
                 else self._inherited_after(right_ms)
             )
@@ -577,7 +577,7 @@
         if response.get("leads", True):
             return self._inherited_after(self._latest_right_end_ms())
         try:
-            return Inherited.from_message(response.get("doubts"), now_ms)
+            return InheritedGrants.from_message(response.get("doubts"), now_ms)
         except ValueError as error:
             log_event("doubts-not-understood", leader=before.name, reason=str(error))
             return self._inherited_after(now_ms)
@@ -639,7 +639,7 @@
         if isinstance(daemons, dict) and self.name in daemons:
             self.view.daemons = dict(daemons)
         try:
-            self.follower.take_news(response.get("news", {}))
+            self.follower.apply_updates(response.get("news", {}))
             loads = self.follower.roster.unpack(response["loads"])
         except (KeyError, TypeError, ValueError) as error:
             log_event("news-not-understood", leader=address, reason=repr(error))
--- a/src/tarragonramp/roles/membership.py
+++ b/src/tarragonramp/roles/membership.py
@@ -29,12 +29,12 @@
     peers : Peers
     clock : Clock
     timing : Timing
-    on_word : callable
-        ``on_word(PingAnswer, sent_ms)``, called with each answer to a ping.
-    on_newest : callable
-        ``on_newest(name, version)``, called with the newest platform version that the
-        answering daemon has seen.
-    named : callable
+    on_ping_answer : callable
+        ``on_ping_answer(PingAnswer, sent_ms)``, called with each answer to a ping.
+    on_peer_version : callable
+        ``on_peer_version(name, version)``, called with the newest platform version that
+        the answering daemon has seen.
+    named_successors : callable
         Returns the identities that the terms held here name as successors.
     """
 
@@ -44,9 +44,9 @@
     peers: object
     clock: object
     timing: object
-    on_word: object = None
-    on_newest: object = None
-    named: object = set
+    on_ping_answer: object = None
+    on_peer_version: object = None
+    named_successors: object = set
     revoked_terms: object = None
     _last_ping_ms: dict = attrs.Factory(dict)
     _missed_pings: dict = attrs.Factory(dict)
@@ -159,7 +159,7 @@
         """
         return self._last_ping_ms.setdefault(identity, self.clock.now_ms())
 
-    def silent(self, identity):
+    def is_silent(self, identity):
         """Return whether a daemon that should ping this one has stopped doing so."""
         silent_ms = self.clock.now_ms() - self.last_ping_ms(identity)
         return silent_ms > self.timing.silence_ms
@@ -226,7 +226,7 @@
         next daemon of any failure domain.
         """
         local = self.successor(True)
-        found = {local} | self.named()
+        found = {local} | self.named_successors()
         found |= {name for name in self._missed_pings if self.view.member_of(name)}
         self._rounds += 1
         if not local or self._rounds % REMOTE_PING_ROUNDS == 0:
@@ -250,8 +250,8 @@
                 self._leaving.add(identity)
             if self._missed_pings.pop(identity, 0) >= 2:
                 log_event("peer-back", peer=identity)
-            self.on_word(result.unwrap(), sent_ms)
-            self.on_newest(member.name, result.unwrap().newest)
+            self.on_ping_answer(result.unwrap(), sent_ms)
+            self.on_peer_version(member.name, result.unwrap().newest)
         finally:
             self._pings_in_flight.pop(identity, None)
 
--- a/src/tarragonramp/roles/mover.py
+++ b/src/tarragonramp/roles/mover.py
@@ -55,19 +55,21 @@
     """
 
     view: object
-    keeper: object
+    tracker: object
     clock: object
     on_released: object
     n_handovers: int = 0
-    _taking: dict = attrs.Factory(dict)
+    _release_tasks: dict = attrs.Factory(dict)
     _proofs: dict = attrs.Factory(dict)
     _granting: set = attrs.Factory(set)
 
     def start_release(self, service, item):
         """Start to release a range, unless the release is in progress or done."""
         key = service, item.first, item.token
-        if key not in self._taking and key not in self._proofs:
-            self._taking[key] = gevent.spawn(self._take_back, service, item, key)
+        if key not in self._release_tasks and key not in self._proofs:
+            self._release_tasks[key] = gevent.spawn(
+                self._release_range, service, item, key
+            )
 
     def is_released(self, service, item):
         """Return whether the earlier owner of a range has released it.
@@ -80,8 +82,8 @@
 
     def begin_term(self):
         """Discard proofs of release: other leaders may have fenced the owners since."""
-        gevent.killall(list(self._taking.values()), block=False)
-        self._taking.clear()
+        gevent.killall(list(self._release_tasks.values()), block=False)
+        self._release_tasks.clear()
         self._proofs.clear()
         self._granting.clear()
 
@@ -92,17 +94,17 @@
             self._granting.add(key)
             gevent.spawn(self._grant_to_new_owner, service, item, key)
 
-    def _take_back(self, service, item, key):
+    def _release_range(self, service, item, key):
         began_ms = self.clock.now_ms()
         try:
             proof, handover = self._prove_release(service, item)
             if proof is None:
                 return
             self._proofs[key] = _ReleaseProof(proof, handover, began_ms)
-            self.keeper.forget(service, item.first, item.old_token)
+            self.tracker.forget(service, item.first, item.old_token)
             self.on_released()
         finally:
-            self._taking.pop(key, None)
+            self._release_tasks.pop(key, None)
 
     def _prove_release(self, service, item):
         """Release a range; return the proof of the release and the handed over state.
@@ -113,15 +115,15 @@
         it was listed.
         """
         release_tried = self.view.directory.servers.get(item.old_owner) is None
-        while self.keeper.may_act(service, item):
-            if self.keeper.address_reused(service, item.old_owner, item.old_life):
+        while self.tracker.may_act(service, item):
+            if self.tracker.address_reused(service, item.old_owner, item.old_life):
                 return "address reused", ""
-            has_restarted = self.keeper.has_later_life(item.old_owner, item.old_life)
-            if (release_tried or has_restarted) and self.keeper.time_proves(
+            has_restarted = self.tracker.has_later_life(item.old_owner, item.old_life)
+            if (release_tried or has_restarted) and self.tracker.have_expired(
                 service, item.first, item.old_token
             ):
                 return "time", ""
-            result = self.keeper.release(service, item)
+            result = self.tracker.release(service, item)
             if is_successful(result):
                 if has_restarted:
                     return "life ended", ""
@@ -162,22 +164,22 @@
         In that case renewals continue, under a raised token if they need a new
         connection.
         """
-        while self.keeper.is_current(service, item):
-            result = self.keeper.grant(service, item, item.owner, item.token, handover)
+        while self.tracker.is_current(service, item):
+            result = self.tracker.grant(service, item, item.owner, item.token, handover)
             if is_successful(result):
                 return True
             if has_no_connection(result):
                 return False
             if isinstance(result.failure(), OvertakenGrantError):
-                self.keeper.refused.add((service, item.first, item.token))
+                self.tracker.refused.add((service, item.first, item.token))
                 return False
             server = self.view.directory.servers.get(item.owner)
             if server is None or server.life != item.life or server.draining:
                 return False
-            connection_state = self.keeper.connection_state((item.owner, item.life))
+            connection_state = self.tracker.connection_state((item.owner, item.life))
             if connection_state.failing_since_ms is None:
                 connection_state.failing_since_ms = self.clock.now_ms()
-            if self.keeper.is_unreachable((item.owner, item.life)):
+            if self.tracker.is_unreachable((item.owner, item.life)):
                 return False
             gevent.sleep(RETRY_MS / 1000.0)
         return False
--- a/src/tarragonramp/roles/news.py
+++ b/src/tarragonramp/roles/news.py
@@ -88,19 +88,19 @@
             else:
                 self._follow()
 
-    def wait_started(self):
+    def wait_for_members(self):
         """Block until the list of members has been read."""
         self._members_read.wait()
 
     def run_vm_list(self):
         """Poll the VM list while this daemon watches the platform. Never returns."""
-        self.wait_started()
+        self.wait_for_members()
         while True:
             if self.source == PLATFORM:
                 self._read_vms()
             gevent.sleep(self.timing.vm_list_ms / 1000.0)
 
-    def heard(self, name, newest):
+    def on_peer_version(self, name, newest):
         """Handle the newest version that a ring neighbour has seen.
 
         If this daemon lags behind, it fetches the neighbour's updates.
@@ -130,7 +130,7 @@
             if left_ms <= 0:
                 break
             self._state_changed.wait(left_ms / 1000.0)
-        return self.view.news_after(request, self.reached)
+        return self.view.updates_after(request, self.reached)
 
     def _has_updates(self, request):
         return (
--- a/src/tarragonramp/roles/operators.py
+++ b/src/tarragonramp/roles/operators.py
@@ -11,9 +11,9 @@
 from ..adapters.web import json_reply
 from ..declarations import (
     DECLARED_KINDS,
-    OWN_FIELDS,
+    SYSTEM_FIELDS,
     Declaration,
-    Declared,
+    DeclaredObjects,
     check_declarations,
     check_deletion,
 )
@@ -44,7 +44,7 @@
 MAX_DOCUMENTS = 200
 MAX_AUDIT_ENTRIES = 1000
 AUDIT_ENTRIES = 50
-CHANGE_MS = 5000
+CHANGE_TIMEOUT_MS = 5000
 MAX_ACTOR_LENGTH = 64
 
 
@@ -244,7 +244,7 @@
         return status, payload
 
     def _apply_change(self, change, spec) -> Result:
-        until_ms = self.clock.now_ms() + CHANGE_MS
+        until_ms = self.clock.now_ms() + CHANGE_TIMEOUT_MS
         if spec is None:
             return delete_until_resolved(
                 self.platform,
@@ -265,7 +265,9 @@
             (item.team, item.service): len(item.slices)
             for item in self.view.all_of(KIND_ASSIGNMENT).values()
         }
-        return Declared(_parsed(templates, Template), _parsed(teams, Team), assigned)
+        return DeclaredObjects(
+            _parsed(templates, Template), _parsed(teams, Team), assigned
+        )
 
     def _list_or_raise(self, kind):
         found = self.platform.list(kind)
@@ -338,7 +340,7 @@
 
 
 def _without_system_fields(spec):
-    return {key: value for key, value in spec.items() if key not in OWN_FIELDS}
+    return {key: value for key, value in spec.items() if key not in SYSTEM_FIELDS}
 
 
 def _parsed(items, wanted):
--- a/src/tarragonramp/roles/overview.py
+++ b/src/tarragonramp/roles/overview.py
@@ -205,6 +205,6 @@
         return "no backend server can take it now"
     if vm is None:
         return "owned by a server that is not listed any more; about to move"
-    if not view.domain_in(vm.failure_domain):
+    if not view.is_domain_in_service(vm.failure_domain):
         return "owned in a failure domain that was taken out; about to move"
     return "owned: callers are sent to the owner"
--- a/src/tarragonramp/roles/planner.py
+++ b/src/tarragonramp/roles/planner.py
@@ -8,7 +8,7 @@
 from returns.pipeline import is_successful
 
 from ..adapters.logs import log_event
-from ..assignments import questions
+from ..assignments import slices_to_release
 from ..errors import ConflictError
 from ..model import (
     DEPARTED,
@@ -60,7 +60,7 @@
     _settled_inputs: dict = attrs.Factory(dict)
     _changed: Event = attrs.Factory(Event)
 
-    def take_report(self, sender, reports):
+    def handle_report(self, sender, reports):
         """Store a steward's reports about its servers.
 
         Returns
@@ -171,7 +171,9 @@
         for name, vm in self.view.servers_of(team, service.name).items():
             report = self._current_report(team, service.name, name)
             weight = weights.get(vm.failure_domain, 1.0)
-            is_leaving = vm.state != LIVE or not self.view.domain_in(vm.failure_domain)
+            is_leaving = vm.state != LIVE or not self.view.is_domain_in_service(
+                vm.failure_domain
+            )
             is_leaving = is_leaving or self.view.leaving(team)
             views[name] = ServerView(
                 name=name,
@@ -186,7 +188,7 @@
             server: gevent.spawn(
                 self._request_release_proof, assignment, version, server, indexes
             )
-            for server, indexes in questions(assignment).items()
+            for server, indexes in slices_to_release(assignment).items()
         }
         gevent.joinall(tasks.values())
         return {
--- a/src/tarragonramp/roles/relay.py
+++ b/src/tarragonramp/roles/relay.py
@@ -20,15 +20,15 @@
     WrongServerError,
 )
 
-__all__ = ["Relay", "Relays", "has_no_connection"]
+__all__ = ["Relay", "RelayPool", "has_no_connection"]
 
-VALID_MS = 800.0
+SEND_WINDOW_MS = 800.0
 """How long after reading a message a relay still sends its renewals.
 
 The leader waits longer than this. A relay that was paused meanwhile must not renew
 ranges that have moved since."""
 
-FRESH_MS = 2500.0
+MAX_MESSAGE_AGE_MS = 2500.0
 """Maximum age of a message.
 
 The message carries a reading of the relay's clock that the leader had before it sent
@@ -40,7 +40,7 @@
 """Timeout of a grant that a relay sends. A server normally responds within a
 millisecond."""
 
-MESSAGE_TIMEOUT_MS = VALID_MS + GRANT_TIMEOUT_MS + 100.0
+MESSAGE_TIMEOUT_MS = SEND_WINDOW_MS + GRANT_TIMEOUT_MS + 100.0
 """Timeout of a message to a relay, whose last grant may be sent late and time out."""
 
 EXCLUSION_MS = 10_000.0
@@ -100,13 +100,13 @@
         now_ms, clock_reading_ms = self.clock.now_ms(), message["clock_ms"]
         if (
             clock_reading_ms is None
-            or not clock_reading_ms <= now_ms < clock_reading_ms + FRESH_MS
+            or not clock_reading_ms <= now_ms < clock_reading_ms + MAX_MESSAGE_AGE_MS
         ):
             return {"clock_ms": now_ms}
-        until_ms = min(now_ms + VALID_MS, clock_reading_ms + FRESH_MS)
+        until_ms = min(now_ms + SEND_WINDOW_MS, clock_reading_ms + MAX_MESSAGE_AGE_MS)
         server, address = message["server"], message["address"]
         results = []
-        if self.grants.has_lost(address):
+        if self.grants.has_closed_connection(address):
             # The server may have restarted, which the leader has to find out first.
             return {"results": ["not sent"]}
         for first, last, token, is_new_token in message["ranges"]:
@@ -131,7 +131,7 @@
 
 
 @attrs.define(eq=False, repr=False)
-class Relays:
+class RelayPool:
     """Selects relays and sends them renewals, on the leader.
 
     Parameters
--- a/src/tarragonramp/roles/router.py
+++ b/src/tarragonramp/roles/router.py
@@ -12,8 +12,8 @@
     ARRIVED_KEY,
     HEADERS_KEY,
     TARGET_KEY,
-    answer_reply,
-    caller_is_gone,
+    backend_reply,
+    caller_disconnected,
     error_reply,
     read_body,
 )
@@ -23,8 +23,8 @@
 from ..meters import ANSWERED, NOT_RUN, UNKNOWN
 from ..request import end_to_end_answer
 from ..retries import RetryBudget
-from .orders import RoutedRequest
 from .owners import NO_OWNER_RETRY_S, OwnerResolver
+from .routed_request import RoutedRequest
 
 __all__ = ["Router"]
 
@@ -110,7 +110,7 @@
         finally:
             self.meter.finish(times, outcome, self.clock.now_ms())
         headers = end_to_end_answer(answer)
-        return answer_reply(start_response, environ["REQUEST_METHOD"], answer, headers)
+        return backend_reply(start_response, environ["REQUEST_METHOD"], answer, headers)
 
     def _read_facts(self, environ):
         try:
@@ -125,22 +125,24 @@
         route = routes.find(facts.host, environ["PATH_INFO"])
         if route is None:
             raise RequestError(404, NOT_RUN, "no route")
-        times.service = routes.part_of(route, self._rng.random())
-        patience_ms = route.timeout_ms
-        if facts.patience_ms is not None:
-            patience_ms = min(patience_ms, facts.patience_ms)
+        times.service = routes.choose_service(route, self._rng.random())
+        caller_timeout_ms = route.timeout_ms
+        if facts.caller_timeout_ms is not None:
+            caller_timeout_ms = min(caller_timeout_ms, facts.caller_timeout_ms)
         request = RoutedRequest(
             request_id=facts.request_id,
             method=environ["REQUEST_METHOD"],
             target=environ[TARGET_KEY],
             headers=environ[HEADERS_KEY],
-            body=read_body(environ, self.view.manifest.limits.body_bytes, patience_ms),
+            body=read_body(
+                environ, self.view.manifest.limits.body_bytes, caller_timeout_ms
+            ),
             route=route,
             service=times.service,
             key=facts.key,
             arrived_ms=times.began_ms,
-            until_ms=times.began_ms + patience_ms,
-            is_wanted=lambda: not caller_is_gone(environ),
+            until_ms=times.began_ms + caller_timeout_ms,
+            is_wanted=lambda: not caller_disconnected(environ),
             clock=self.clock,
         )
         return self._deliver(request, times)
@@ -289,7 +291,7 @@
         if not is_successful(result):
             self._record_failure(request, chosen, result.failure(), now_ms)
             return result, took_ms
-        result = result.map(lambda answer: (answer, self.dialect.read_answer(answer)))
+        result = result.map(lambda answer: (answer, self.dialect.read_response(answer)))
         _, facts = result.unwrap()
         if facts.not_run:
             self.loads.shed(chosen, facts.load, now_ms)
@@ -308,7 +310,7 @@
             # No process listens there: the server has ended. It will be cold if it
             # starts again, before its entry says so.
             warmup_ms = self.view.service(server.service).warmup_ms
-            self.view.directory.note_cold(server.name, warmup_ms)
+            self.view.directory.mark_cold(server.name, warmup_ms)
 
     def _is_final(self, request, answer, facts, budget):
         """Return whether a response goes to the caller, rather than being retried."""
--- a/src/tarragonramp/roles/steward.py
+++ b/src/tarragonramp/roles/steward.py
@@ -8,9 +8,9 @@
 from returns.pipeline import is_successful
 
 from ..adapters.logs import log_event
-from ..assignments import may_grant, registration, tokens_of
+from ..assignments import may_grant, tokens_of, with_steward_term
 from ..errors import ConflictError, NotSentError
-from ..gates import Gate, Warmth
+from ..gates import Gate, WarmupState
 from ..leases import END_MARGIN_MS, GrantLedger
 from ..model import KIND_ASSIGNMENT, SILENT, UNKNOWN, UP
 from ..terms import RIGHT_MARGIN
@@ -82,9 +82,9 @@
     peers : Peers
     clock : Clock
     timing : Timing
-    knows_warm : callable
-        ``knows_warm(server, address) -> bool``: whether this daemon's entry role sends
-        to a server directly, because it was reported warm.
+    is_known_warm : callable
+        ``is_known_warm(server, address) -> bool``: whether this daemon's entry role
+        sends to a server directly, because it was reported warm.
     """
 
     me: object
@@ -95,7 +95,7 @@
     peers: object
     clock: object
     timing: object
-    knows_warm: object = lambda server, address: False
+    is_known_warm: object = lambda server, address: False
     _managed_servers: dict = attrs.Factory(dict)
 
     def run(self):
@@ -167,10 +167,10 @@
 
     def _new_gate(self, vm, service, held, right_ends_ms, checks):
         return Gate(
-            Warmth(
+            WarmupState(
                 service.cold_slots_per_server,
                 service.slots_per_server,
-                self.knows_warm(vm.name, vm.address),
+                self.is_known_warm(vm.name, vm.address),
             ),
             held.right_ms,
             right_ends_ms,
@@ -219,8 +219,8 @@
         """Apply changes of the service's settings and of the server's address."""
         vm = self.view.vms.get(managed.vm.name)
         if vm is not None and vm.address != managed.vm.address:
-            managed.ledger.moved(self.clock.now_ms())
-            managed.gate.moved(self.clock.now_ms())
+            managed.ledger.address_changed(self.clock.now_ms())
+            managed.gate.address_changed(self.clock.now_ms())
         managed.vm = vm or managed.vm
         found = self.view.services().get((managed.vm.team, managed.vm.service))
         managed.service = found or managed.service
@@ -255,7 +255,7 @@
 
     def _next_grant(self, managed, now_ms):
         held = self.keeper.holding(managed.role).held
-        if not held.may_last(now_ms):
+        if not held.may_renew_grants(now_ms):
             return None
         vm = managed.vm
         tokens = tokens_of(self.view.assignment(vm.team, vm.service), vm.name)
@@ -268,7 +268,7 @@
         restarted = managed.ledger.observe(answer, sent_ms, arrived_ms)
         managed.last_answer_ms = arrived_ms
         managed.gate.observe(answer.boot_id, sent_ms, arrived_ms)
-        managed.gate.warmth.observe(answer.boot_id, answer.cold, arrived_ms)
+        managed.gate.warmup.observe(answer.boot_id, answer.cold, arrived_ms)
         if managed.ledger.fenced and self._holds_term(managed):
             held = self.keeper.holding(managed.role).held
             held.unbounded = False
@@ -294,7 +294,9 @@
         """Write this steward's term into the assignment before granting anything."""
         vm = managed.vm
         assignment = self.view.assignment(vm.team, vm.service)
-        new = registration(assignment, vm.name, managed.ledger.term, uuid.uuid4().hex)
+        new = with_steward_term(
+            assignment, vm.name, managed.ledger.term, uuid.uuid4().hex
+        )
         if new is None:
             return may_grant(assignment, vm.name, managed.ledger.term)
         name = assignment_name(vm.team, vm.service)
--- a/src/tarragonramp/roles/terms.py
+++ b/src/tarragonramp/roles/terms.py
@@ -78,7 +78,7 @@
         numbers = {r: s.revoked_for(identity) for r, s in self._states.items()}
         return {role: number for role, number in numbers.items() if number}
 
-    def named(self):
+    def named_successors(self):
         """Return the identities that the terms held here name as successors."""
         found = set()
         for state in self.holdings.values():
@@ -87,7 +87,7 @@
                 found.add(state.held.pending.term.successor)
         return found
 
-    def on_word(self, answer, sent_ms):
+    def on_ping_answer(self, answer, sent_ms):
         """Prolong the rights that the answer to a ping confirms.
 
         Parameters
@@ -99,7 +99,7 @@
         for role, state in self._states.items():
             held = state.held
             if held is not None and held.number > answer.taken.get(role, 0):
-                held.renewed_by_successor(answer.identity, sent_ms)
+                held.confirmed_by_successor(answer.identity, sent_ms)
 
     def run(self):
         """Claim and renew terms. Never returns.
@@ -258,8 +258,8 @@
         if self.leaving or (not self._is_local(vm) and not is_successor):
             return False
         departed = lambda holder: self.membership.is_departed(holder, version)
-        silent = lambda holder: self._is_silent(role, holder)
-        if not may_claim(term, identity, departed, silent):
+        is_silent = lambda holder: self._is_silent(role, holder)
+        if not may_claim(term, identity, departed, is_silent):
             return False
         return is_successor or self._claim_delay_has_passed(role, vm)
 
@@ -277,7 +277,7 @@
             since_ms = now_ms
             self._named_since_ms[role] = (version, since_ms)
         waited = now_ms - since_ms > self.timing.silence_ms
-        return waited and self.membership.silent(holder)
+        return waited and self.membership.is_silent(holder)
 
     def _is_local(self, vm):
         return vm is None or vm.failure_domain == self.membership.me.failure_domain
--- a/src/tarragonramp/routing.py
+++ b/src/tarragonramp/routing.py
@@ -68,7 +68,8 @@
             self._candidates[key] = tuple(
                 Route(vm.name, vm.address, service=key)
                 for vm in self.view.servers_of(team, service).values()
-                if vm.state == "live" and self.view.domain_in(vm.failure_domain)
+                if vm.state == "live"
+                and self.view.is_domain_in_service(vm.failure_domain)
             )
         return self._candidates[key]
 
--- a/src/tarragonramp/teams.py
+++ b/src/tarragonramp/teams.py
@@ -198,17 +198,17 @@
     return faults
 
 
-def _divisor_fault(divisor):
+def _divisor_fault(key_source):
     """Return what is wrong with a divisor's name; empty if nothing is."""
-    name = divisor.name
-    if divisor.source == "none":
+    name = key_source.name
+    if key_source.source == "none":
         return "only together with a source" if name else ""
-    if divisor.source == "path":
+    if key_source.source == "path":
         fits = name.isascii() and name.isdigit() and int(name) < 32
         return "" if fits else f"{name!r}: expected the part's number, from '0' on"
     if not name:
         return "missing"
-    if divisor.source == "header":
+    if key_source.source == "header":
         inner = name.lower().startswith(INNER_PREFIX)
         if not checks.header_name(name):
             return f"{name!r}: not the name of a header"
--- a/src/tarragonramp/terms.py
+++ b/src/tarragonramp/terms.py
@@ -86,7 +86,7 @@
     longest_right_ms: float = 0.0
     longest_grant_ms: float = 0.0
     pending: TermWrite | None = None
-    _words_ms: dict[str, float] = attrs.Factory(dict)
+    _confirmations_ms: dict[str, float] = attrs.Factory(dict)
 
     @property
     def right_until_ms(self):
@@ -110,7 +110,7 @@
         """Return the duration of grants, limited to what the term allows."""
         return min(wanted_ms, self.longest_grant_ms or wanted_ms)
 
-    def may_last(self, now_ms):
+    def may_renew_grants(self, now_ms):
         """Tell whether the holder may still renew grants that it sent within its right.
 
         Applies only to servers that refuse superseded stewards, and only to the server
@@ -173,7 +173,7 @@
                 grant_ms=self.longest_grant_ms,
             )
             self.pending = TermWrite(self.role, term, self.version)
-            self._use_words()
+            self._apply_confirmations()
         return self.pending
 
     def observed(self, term, version, sent_ms=None):
@@ -204,29 +204,31 @@
         if self.pending is not None and version > self.pending.expected_version:
             self.pending = None
         if sent_ms is not None:
-            self._prolong(sent_ms)
-        self._use_words()
+            self._extend(sent_ms)
+        self._apply_confirmations()
         return True
 
-    def renewed_by_successor(self, identity, sent_ms):
+    def confirmed_by_successor(self, identity, sent_ms):
         """Process a daemon's confirmation that it has not taken over.
 
         While a change of successor is in doubt, either successor may be the one that
         the platform names, so the earlier of their two confirmations counts.
         """
-        self._words_ms[identity] = max(sent_ms, self._words_ms.get(identity, sent_ms))
-        self._use_words()
+        self._confirmations_ms[identity] = max(
+            sent_ms, self._confirmations_ms.get(identity, sent_ms)
+        )
+        self._apply_confirmations()
 
-    def _use_words(self):
+    def _apply_confirmations(self):
         needed = {self.successor}
         if self.pending is not None:
             needed.add(self.pending.term.successor)
         needed.discard("")
-        if not needed or not needed <= self._words_ms.keys():
+        if not needed or not needed <= self._confirmations_ms.keys():
             return
-        self._prolong(min(self._words_ms[name] for name in needed))
+        self._extend(min(self._confirmations_ms[name] for name in needed))
 
-    def _prolong(self, sent_ms):
+    def _extend(self, sent_ms):
         self.right_ends_ms = max(self.right_ends_ms, sent_ms + self.right_ms)
 
 
--- a/src/tarragonramp/view.py
+++ b/src/tarragonramp/view.py
@@ -147,7 +147,7 @@
             self.version, self.newest, self.vms_digest, reached, wait_ms
         )
 
-    def news_after(self, question, reached):
+    def updates_after(self, question, reached):
         """Return the NewsAnswer with everything that the sender of a question lacks."""
         items = [s for s in self._stored.values() if s.version > question.since]
         changes = self._vms.changes_from(question.vms_digest)
@@ -237,7 +237,7 @@
         """Return the registered daemons by name; must not be modified."""
         return self._all_of(KIND_MEMBER)
 
-    def domain_in(self, failure_domain):
+    def is_domain_in_service(self, failure_domain):
         """Tell whether a failure domain is given new work."""
         order = self.get(KIND_FAILURE_DOMAIN, failure_domain)
         return order is None or order.state == IN
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -21,7 +21,7 @@
 from tarragonramp.adapters.web import (  # noqa: E402
     REASONS,
     WebServer,
-    caller_is_gone,
+    caller_disconnected,
     json_reply,
 )
 
@@ -174,7 +174,7 @@
         while left_ms > 0:
             gevent.sleep(min(left_ms, WORK_STEP_MS) / 1000.0)
             left_ms -= WORK_STEP_MS
-            if left_ms > 0 and caller_is_gone(environ):
+            if left_ms > 0 and caller_disconnected(environ):
                 return False
         return clock_ms() <= deadline_at_ms
 
--- a/standins/fleet_site.py
+++ b/standins/fleet_site.py
@@ -171,18 +171,18 @@
                         counts[entry[2]] = counts.get(entry[2], 0) + 1
         return counts
 
-    def call(self, daemon, path, named, key=None, method="GET", patience_ms=1500):
+    def call(self, daemon, path, named, key=None, method="GET", caller_timeout_ms=1500):
         """Send one request to a daemon; an Answer, or None without one."""
         headers = [
             ("Host", HOST),
             ("Request-Id", named),
-            ("Deadline-Ms", str(patience_ms)),
+            ("Deadline-Ms", str(caller_timeout_ms)),
         ]
         if key is not None:
             headers.append(("Shard-Key", str(key)))
         body = b"claim" if method == "POST" else b""
         pool = HttpPool(self.daemons[daemon]["front"])
-        result = pool.exchange(method, path, headers, body, patience_ms + 1000)
+        result = pool.exchange(method, path, headers, body, caller_timeout_ms + 1000)
         pool.close()
         return result.value_or(None)
 
--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -4,10 +4,10 @@
 import math
 from unittest import mock
 
-from tarragonramp.leading import Inherited, LeaseTiming, Standing
+from tarragonramp.leadership import InheritedGrants, LeadershipState, LeaseTiming
 from tarragonramp.roles import relay
 from tarragonramp.roles.granter import Granter
-from tarragonramp.roles.grants import GrantKeeper
+from tarragonramp.roles.grants import GrantTracker
 from tarragonramp.roles.leadership import Leadership
 from tarragonramp.roles.mover import Mover
 
@@ -17,8 +17,8 @@
 
 _grant = HttpGrants.grant
 _post = HttpGrants._post
-_note = GrantKeeper._note
-_told = Leadership.told_to_step_down
+_record_outcome = GrantTracker._record_outcome
+_told = Leadership.handle_step_down
 _prove = Mover._prove_release
 _send = relay.Relay.send
 
@@ -32,7 +32,7 @@
 
 
 def _proves_by_half_the_hold(self, service, first, token):
-    held = self._held_of(service, first, token)
+    held = self._state_of(service, first, token)
     return self.clock.now_ms() > held.sent_ms + self.timing.hold_ms / 2
 
 
@@ -44,7 +44,7 @@
 
 
 def _inherit_nothing(self, before, term):
-    return Inherited(-1e9, -1e9)
+    return InheritedGrants(-1e9, -1e9)
 
 
 def _step_down_without_doubts(self, term, successor=""):
@@ -65,27 +65,27 @@
 
 
 def _later_life_is_proof(self, service, item):
-    if self.keeper.has_later_life(item.old_owner, item.old_life):
+    if self.tracker.has_later_life(item.old_owner, item.old_life):
         return "life ended", ""
     return _prove(self, service, item)
 
 
 def _note_from_sending(self, held, sent_ms, result):
-    _note(self, held, sent_ms, result)
+    _record_outcome(self, held, sent_ms, result)
     held.sent_ms = min(held.sent_ms, sent_ms)
     held.in_doubt_until_ms = -math.inf
 
 
 def _give_before_it_is_written(self, service, item, key):
-    self._taking.pop(key, None)
+    self._release_tasks.pop(key, None)
     proof, handover = self._prove_release(service, item)
     if proof is not None:
-        self.keeper.grant(service, item, item.owner, item.token, handover)
+        self.tracker.grant(service, item, item.owner, item.token, handover)
 
 
 def _tokens_as_they_were(self, service, items):
     for item in items:
-        self.keeper.note_new(service, item)
+        self.tracker.mark_unsent(service, item)
     return True
 
 
@@ -96,17 +96,17 @@
 MUTANTS = {
     "released without being asked": _patch(Mover, "_prove_release", _released_unasked),
     "time proves before the hold has ended": _patch(
-        GrantKeeper, "time_proves", _proves_by_half_the_hold
+        GrantTracker, "have_expired", _proves_by_half_the_hold
     ),
-    "no fence before a release": _patch(GrantKeeper, "release", _release_unfenced),
+    "no fence before a release": _patch(GrantTracker, "release", _release_unfenced),
     "a new leader does not wait for the one before": _patch(
         Leadership, "_inherit", _inherit_nothing
     ),
     "doubts are not handed on": _patch(
-        Leadership, "told_to_step_down", _step_down_without_doubts
+        Leadership, "handle_step_down", _step_down_without_doubts
     ),
     "a thawed relay sends what it held": lambda: mock.patch.multiple(
-        relay, VALID_MS=1e9, FRESH_MS=1e9
+        relay, SEND_WINDOW_MS=1e9, MAX_MESSAGE_AGE_MS=1e9
     ),
     "a relay sends a message of any age": _patch(
         relay.Relay, "send", _send_whatever_its_age
@@ -121,10 +121,10 @@
         Mover, "_prove_release", _later_life_is_proof
     ),
     "a grant without an answer is not in doubt": _patch(
-        GrantKeeper, "_note", _note_from_sending
+        GrantTracker, "_record_outcome", _note_from_sending
     ),
     "granted before the store says that the keys are free": _patch(
-        Mover, "_take_back", _give_before_it_is_written
+        Mover, "_release_range", _give_before_it_is_written
     ),
     "a first connection carries the token that was sent before": _patch(
         Granter, "_raise_tokens", _tokens_as_they_were
@@ -133,13 +133,13 @@
         HttpGrants, "_post", _post_over_any_open_connection
     ),
     "a leader moves keys while it is not confirmed": _patch(
-        Standing, "may_move", Standing.may_renew
+        LeadershipState, "may_move", LeadershipState.may_renew
     ),
     "a leader renews without an end": _patch(
-        Standing, "may_renew", lambda self, now_ms: self.is_named
+        LeadershipState, "may_renew", lambda self, now_ms: self.is_named
     ),
     "a new leader acts on the table that it knew": _patch(
-        Granter, "_is_read", lambda self, service: True
+        Granter, "_ensure_table_read", lambda self, service: True
     ),
     "a slow clock is not allowed for": _patch(
         LeaseTiming, "longest_hold_ms", property(lambda self: self.hold_ms * 0.9)
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -21,7 +21,7 @@
 from returns.result import Failure, Success
 
 from tarragonramp import dealing
-from tarragonramp.adapters.http import Answer
+from tarragonramp.adapters.http import Response
 from tarragonramp.balancing import Loads
 from tarragonramp.clock import Clock
 from tarragonramp.directory import BackendServer
@@ -244,7 +244,7 @@
         self.clock = ProcessClock(world.timeline, draw(0, 1e7))
         self.view = FleetView(self.clock)
         services = {SERVICE: FleetService(SERVICE, divided=True)}
-        self.view.take_routes(RouteTable(Manifest(1, (), services)))
+        self.view.update_routes(RouteTable(Manifest(1, (), services)))
         self.pools = {}
         self.grants = HttpGrants(types.SimpleNamespace(at=self.pool))
         self.relay = relay.Relay(self.grants, self.clock)
@@ -266,11 +266,11 @@
             self,
             self.grants,
             self.clock,
-            relay.Relays(self.view, self.leadership, self, self.clock),
+            relay.RelayPool(self.view, self.leadership, self, self.clock),
         )
-        self.granter._work = TimedEvent(world.timeline)
+        self.granter._wake_up = TimedEvent(world.timeline)
         self.granter._rng = random.Random(world.random.random())
-        self.leadership.doubts = self.granter.keeper.doubts
+        self.leadership.in_doubt_grants = self.granter.tracker.in_doubt_grants
         for task in (self.lead, self.read_lists, self.granter.run):
             world.timeline.spawn_in(process, task)
 
@@ -282,7 +282,7 @@
         """Keep the leader's record, or look at it."""
         while True:
             if self.leadership.standing.is_named:
-                self.leadership._keep()
+                self.leadership._renew_record()
                 pause_ms = self.leadership.timing.renew_ms
             else:
                 self.leadership._check_record()
@@ -296,9 +296,9 @@
             self.take_lists(result.value_or({}))
             for name, other in self.world.daemons.items():
                 if self.world.is_open(name, self.process.name) and other.is_up:
-                    self.leadership._note_daemon(name, name)
+                    self.leadership._record_daemon(name, name)
                     self.leadership._domains[name] = other.process.domain
-                    self.leadership.note_clock(name, other.clock.now_ms())
+                    self.leadership.record_clock_reading(name, other.clock.now_ms())
             self.world.timeline.sleep(LIST_MS / 1000.0)
 
     @property
@@ -311,15 +311,15 @@
         listed = {n: s.spec for (kind, n), s in objects.items() if kind == SERVER}
         if not objects:
             return
-        self.view.servers_read = True
+        self.view.servers_loaded = True
         for name in sorted(set(self.view.directory.servers) - set(listed)):
-            self.view.directory.lose(name)
+            self.view.directory.remove_server(name)
         for server in listed.values():
             if self.view.directory.servers.get(server.name) != server:
-                self.view.directory.take(server)
+                self.view.directory.upsert(server)
         table = objects.get((RANGES, SERVICE))
         if table is not None and table.version > self.view.table_version(SERVICE):
-            self.view.take_stored_table(table)
+            self.view.load_stored_table(table)
 
     # As the store.
 
@@ -338,7 +338,7 @@
     def step_down(self, address, term, successor):
         """Tell an earlier leader to stop."""
         other = self.world.daemons[address]
-        told = lambda: other.leadership.told_to_step_down(term, successor)
+        told = lambda: other.leadership.handle_step_down(term, successor)
         return self.world.ask_daemon(self, other, told, 400.0)
 
     def relay_message(self, address, message, timeout_ms):
@@ -392,7 +392,7 @@
         """The server that has the address."""
         return self.daemon.world.servers[self.address.partition(":")[0]]
 
-    def has_lost_idle(self):
+    def has_closed_idle(self):
         """Tell whether the idle connection used next was closed; then all are."""
         if not self._idle or self._is_live(self._idle[-1]):
             return False
@@ -565,7 +565,7 @@
         if is_open and not is_late:
             begin = lambda answer: answer(self.carry_out(server, order))
             result = self._await(daemon.process, server, begin, timeout_ms)
-            return result.map(lambda status: Answer(status, (), b"{}"))
+            return result.map(lambda status: Response(status, (), b"{}"))
         if is_open:
             # Its time counts from here, also if it is carried out much later.
             order.arrived_ms = self.timeline.now_ms
--- a/tests/ownership_mutants.py
+++ b/tests/ownership_mutants.py
@@ -26,8 +26,8 @@
 
 def _use_new_successor_only(self):
     named = self.successor if self.pending is None else self.pending.term.successor
-    if named in self._words_ms:
-        self._prolong(self._words_ms[named])
+    if named in self._confirmations_ms:
+        self._extend(self._confirmations_ms[named])
 
 
 def _update_forgets_the_one_in_doubt(self, *arguments, **named):
@@ -91,7 +91,7 @@
         _World, "counted_from", lambda self, sent_ms, now_ms: now_ms
     ),
     "old successor forgotten on a rename": _patch(
-        terms.HeldTerm, "_use_words", _use_new_successor_only
+        terms.HeldTerm, "_apply_confirmations", _use_new_successor_only
     ),
     "update in doubt forgotten for a newer one": _patch(
         terms.HeldTerm, "begin_update", _update_forgets_the_one_in_doubt
@@ -101,7 +101,7 @@
     ),
     "proof by silence": _patch(GrantLedger, "released", _released_by_silence),
     "expiry counted from sending": _patch(
-        GrantLedger, "_has_run_out_at", _end_from_sending
+        GrantLedger, "_expires_at_ms", _end_from_sending
     ),
     "a server's restart lifts the wait for earlier grants": _patch(
         GrantLedger, "observe", _restart_lifts_the_wait
@@ -115,7 +115,7 @@
     "new steward grants before it is registered": lambda: mock.patch.multiple(
         assignments,
         may_grant=lambda assignment, server, term: assignment is not None,
-        registration=_registers_late,
+        with_steward_term=_registers_late,
     ),
     "a shorter setting shortens the wait for longer rights": _patch(
         terms.RoleTerm,
--- a/tests/ownership_world.py
+++ b/tests/ownership_world.py
@@ -415,7 +415,9 @@
                 daemon,
                 other,
                 lambda o=other, me=daemon.identity: self.word(o, me),
-                lambda word, o=other, s=sent_ms: self.on_word(daemon, o, word, s),
+                lambda word, o=other, s=sent_ms: self.on_ping_answer(
+                    daemon, o, word, s
+                ),
                 lambda o=other: daemon.missed.update([o.name]),
             )
 
@@ -425,14 +427,14 @@
         taken = {r: s.revoked_for(asker) for r, s in daemon.roles.items()}
         return daemon.identity, taken
 
-    def on_word(self, daemon, other, word, sent_ms):
+    def on_ping_answer(self, daemon, other, word, sent_ms):
         """Use a word for all terms that name the other daemon."""
         daemon.missed[other.name] = 0
         identity, taken = word
         sent_ms = self.counted_from(sent_ms, self.clock(daemon))
         for role, state in daemon.roles.items():
             if state.held is not None and state.held.number > taken.get(role, 0):
-                state.held.renewed_by_successor(identity, sent_ms)
+                state.held.confirmed_by_successor(identity, sent_ms)
 
     def attend(self, daemon, server):
         """Renew a server's grant, as its steward."""
@@ -451,7 +453,7 @@
         daemon.busy.add(key)
         grant, now = None, self.clock(daemon)
         assignment = daemon.seen[ASSIGNMENT][1]
-        if state.held.may_last(now):
+        if state.held.may_renew_grants(now):
             known_only = not state.held.may_act(now)
             tokens = assignments.tokens_of(assignment, server.name)
             grant = ledger.next_grant(tokens, now, known_only)
@@ -497,7 +499,7 @@
     def registered(self, daemon, server, ledger):
         """Make the assignment show a steward's term."""
         version, assignment = daemon.seen.get(ASSIGNMENT, (0, None))
-        new = assignments.registration(assignment, server, ledger.term, "r")
+        new = assignments.with_steward_term(assignment, server, ledger.term, "r")
         if new is not None and ASSIGNMENT not in daemon.busy:
             self.write_assignment(daemon, new, version)
         return assignment is not None and assignments.may_grant(
@@ -540,7 +542,7 @@
             if not open_calls:
                 finish()
 
-        asked = assignments.questions(assignment)
+        asked = assignments.slices_to_release(assignment)
         open_calls.extend([None] * (len(asked) + 1))
         for server, indexes in asked.items():
             self.ask(daemon, server, indexes, version, assignment, closed)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -75,10 +75,10 @@
             by_class[result.priority].append(result)
         return by_class
 
-    def _arrive(self, gate, priority, work_ms, patience_ms):
+    def _arrive(self, gate, priority, work_ms, caller_timeout_ms):
         result = Result(priority, self.now_ms)
         self.results.append(result)
-        ticket = Ticket(priority, self.now_ms + patience_ms)
+        ticket = Ticket(priority, self.now_ms + caller_timeout_ms)
         ticket.on_change = lambda: self._go_on(gate, ticket, result, work_ms)
         self._wake(gate.arrive(ticket, self.now_ms))
         if ticket.state == WAITING:
@@ -331,10 +331,10 @@
 
     def test_an_own_pause_is_not_the_servers_silence(self):
         """Guards against refusals right after this process stood still."""
-        stood_still_ms = 0.0
-        gate = Gate(1, 50, max_wait_ms=500.0, stood_still_ms=lambda: stood_still_ms)
+        total_pause_ms = 0.0
+        gate = Gate(1, 50, max_wait_ms=500.0, total_pause_ms=lambda: total_pause_ms)
         gate.arrive(Ticket(CLAIM, 3000.0), 0.0)
-        stood_still_ms = 700.0
+        total_pause_ms = 700.0
         thawed, late = Ticket(CLAIM, 3800.0), Ticket(CLAIM, 4500.0)
         gate.arrive(thawed, 800.0)
         self.assertEqual(thawed.state, WAITING)
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -98,8 +98,10 @@
         self.addCleanup(self.port.stop)
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
         # The waits for a platform that does not answer, shortened.
-        self.enterContext(unittest.mock.patch.object(operators, "CHANGE_MS", 500))
-        self.enterContext(unittest.mock.patch.object(audit, "WRITE_MS", 500))
+        self.enterContext(
+            unittest.mock.patch.object(operators, "CHANGE_TIMEOUT_MS", 500)
+        )
+        self.enterContext(unittest.mock.patch.object(audit, "WRITE_TIMEOUT_MS", 500))
 
     def run_command(self, *arguments, port=None):
         """Run the command; return exit code, output and errors."""
--- a/tests/test_dealing.py
+++ b/tests/test_dealing.py
@@ -9,7 +9,7 @@
     plan_moves,
 )
 from tarragonramp.manifest import N_KEYS
-from tarragonramp.ranges import GAP, KeyRange, RangeTable
+from tarragonramp.ranges import TOKEN_STEP, KeyRange, RangeTable
 
 
 def servers(n, slots=3):
@@ -56,7 +56,7 @@
         others = servers(13)[1:]
         moved = plan_moves(table, others, self.stays({c.name for c in others}))
         self.assertTrue(all(item.old_owner == "s0" for item in moved))
-        self.assertEqual({item.token for item in moved}, {1 + GAP})
+        self.assertEqual({item.token for item in moved}, {1 + TOKEN_STEP})
         self.assertGreater(len({item.owner for item in moved}), 10)
         self.assertLessEqual(len(moved), MAX_MOVES)
 
@@ -71,7 +71,7 @@
         again = [Candidate("s0", 2, "10.0.0.0:80", 3)]
         moved = plan_moves(table, again, self.stays(set()))
         self.assertEqual(
-            [(r.owner, r.life, r.token) for r in moved], [("s0", 2, 5 + GAP)]
+            [(r.owner, r.life, r.token) for r in moved], [("s0", 2, 5 + TOKEN_STEP)]
         )
 
     def test_a_new_server_gets_keys_and_none_go_back(self):
--- a/tests/test_declarations.py
+++ b/tests/test_declarations.py
@@ -7,7 +7,7 @@
 
 from tarragonramp.declarations import (
     Declaration,
-    Declared,
+    DeclaredObjects,
     check_declarations,
     check_deletion,
     declarations_of,
@@ -51,12 +51,12 @@
     for item in declarations:
         wanted = Template if item.kind == "Template" else Team
         found[item.kind][item.name] = structure(item.spec, wanted).unwrap()
-    return Declared(found["Template"], found["Team"], dict(assigned_slices))
+    return DeclaredObjects(found["Template"], found["Team"], dict(assigned_slices))
 
 
 def faults_of(declarations, before=None):
     """Return the faults as texts."""
-    before = before or Declared()
+    before = before or DeclaredObjects()
     return [str(fault) for _, fault in check_declarations(declarations, before)]
 
 
@@ -83,7 +83,7 @@
         self.assertEqual(faults[4], "f:7: name: 3: expected text")
 
     def test_invalid_fields_of_a_service_are_refused(self):
-        divisor = {"source": "header", "name": "X-Record"}
+        key_source = {"source": "header", "name": "X-Record"}
         cases = {
             "spec.services[0].n_slices": {"n_slices": 0},
             "spec.services[0].n_slices: True": {"n_slices": True},
@@ -94,9 +94,9 @@
             "more than slots_per_server": {"cold_slots_per_server": 9},
             "fewer than slots_per_server": {"connections_per_server": 2},
             "divided_by.source": {"divided_by": {"source": "cookie"}},
-            "not the callers' to set": {"divided_by": divisor | {"name": "Host"}},
-            "header is not": {"divided_by": divisor | {"name": "Tarragon-Token"}},
-            "not the name of a header": {"divided_by": divisor | {"name": "A B"}},
+            "not the callers' to set": {"divided_by": key_source | {"name": "Host"}},
+            "header is not": {"divided_by": key_source | {"name": "Tarragon-Token"}},
+            "not the name of a header": {"divided_by": key_source | {"name": "A B"}},
             "the part's number": {"divided_by": {"source": "path", "name": "job"}},
             "divided_by.name: missing": {"divided_by": {"source": "query"}},
             "only together with": {"divided_by": {"name": "x"}},
@@ -208,7 +208,7 @@
         text = "kind: Template\nname: t\nspec:\n  services:\n  - name: a\n    x: 1\n"
         documents = read_documents(text, "f").unwrap()
         declarations = declarations_of(documents).unwrap()
-        found = check_declarations(declarations, Declared())
+        found = check_declarations(declarations, DeclaredObjects())
         places = [declarations[i].locate(fault) for i, fault in found]
         self.assertIn("f:6: spec.services[0].x: no such field", places[0])
         self.assertIn("f:5: spec.services[0].path_prefix: missing", places[1])
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -6,7 +6,7 @@
 
 from tarragonramp import ManualClock
 from tarragonramp.directory import (
-    MISSING_USE_MS,
+    MISSING_ROUTABLE_MS,
     RETURN_GRACE_MS,
     BackendServer,
     Directory,
@@ -21,7 +21,7 @@
     def setUp(self):
         self.clock = ManualClock(50_000.0)
         self.directory = Directory(self.clock)
-        self.directory.take(SERVER)
+        self.directory.upsert(SERVER)
 
     def usable(self):
         """Return the names of usable servers."""
@@ -29,9 +29,9 @@
 
     def test_draining_and_evacuated_servers_are_not_usable(self):
         self.assertEqual(self.usable(), {"s1"})
-        self.directory.take(attrs.evolve(SERVER, draining=True))
+        self.directory.upsert(attrs.evolve(SERVER, draining=True))
         self.assertEqual(self.usable(), set())
-        self.directory.take(SERVER)
+        self.directory.upsert(SERVER)
         self.directory.set_taken_out({"a"}, lambda service: 3000.0)
         self.assertEqual(self.usable(), set())
 
@@ -49,9 +49,9 @@
 
         Entries expire during the outage although the servers are running.
         """
-        self.directory.lose("s1", may_return=True)
+        self.directory.remove_server("s1", may_return=True)
         self.assertEqual(self.usable(), {"s1"})
-        self.directory.take(SERVER)
+        self.directory.upsert(SERVER)
         self.clock.advance(RETURN_GRACE_MS + 1)
         self.assertEqual(self.directory.drop_missing(), [])
         self.assertEqual(self.usable(), {"s1"})
@@ -62,9 +62,9 @@
         Shortly after a failure of the store, missing entries are taken for expired
         ones. Servers were then sent requests for 2.5 s (22 requests on one day).
         """
-        self.directory.lose("s1", may_return=True)
-        self.clock.advance(MISSING_USE_MS)
-        self.assertLess(MISSING_USE_MS, 2000.0)
+        self.directory.remove_server("s1", may_return=True)
+        self.clock.advance(MISSING_ROUTABLE_MS)
+        self.assertLess(MISSING_ROUTABLE_MS, 2000.0)
         self.assertEqual(self.usable(), set())
         self.clock.advance(RETURN_GRACE_MS)
         self.assertEqual(self.directory.drop_missing(), ["s1"])
@@ -72,10 +72,10 @@
     def test_server_is_cold_once_per_process(self):
         """Entries are written seconds apart; one that is read late changes nothing."""
         cold = attrs.evolve(SERVER, name="s2", cold_ms=3000.0)
-        self.directory.take(cold)
+        self.directory.upsert(cold)
         self.assertTrue(self.directory.is_cold("s2"))
         self.clock.advance(3500.0)
-        self.directory.take(cold)
+        self.directory.upsert(cold)
         self.assertFalse(self.directory.is_cold("s2"))
-        self.directory.take(attrs.evolve(cold, life=2000))
+        self.directory.upsert(attrs.evolve(cold, life=2000))
         self.assertTrue(self.directory.is_cold("s2"))
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -14,7 +14,7 @@
 from standins.site import Backend, DaemonSpec, Site, free_address
 from tarragonramp.adapters.http import HttpPool, split_address
 from tarragonramp.adapters.serving import DaemonServer
-from tarragonramp.adapters.web import caller_is_gone
+from tarragonramp.adapters.web import caller_disconnected
 from tarragonramp.clock import Clock
 
 TIMING = {"unready_ms": 300, "drain_idle_ms": 300}
@@ -56,7 +56,7 @@
 
     def application(self, environ, start_response):
         """Note whether the caller seems to be there, and answer."""
-        self.served.append(not caller_is_gone(environ))
+        self.served.append(not caller_disconnected(environ))
         start_response("200 OK", [("Content-Length", "2")])
         return [b"ok"]
 
@@ -68,8 +68,8 @@
         """
         (handler,) = self.server.connections
         self.caller.sendall(b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
-        self.server.leave()
-        handler.hang_up()
+        self.server.begin_shutdown()
+        handler.shut_down_receive()
         answer = b""
         while data := self.caller.recv(65536):
             answer += data
@@ -84,7 +84,7 @@
         drain = gevent.spawn(self.server.drain, 200, 2000)
         queued.sendall(b"GET /x HTTP/1.1\r\nHost: h\r\n\r\n")
         self.assertTrue(queued.recv(65536).endswith(b"ok"))
-        self.assertEqual(drain.get().cut, 0)
+        self.assertEqual(drain.get().n_aborted, 0)
 
     def test_no_connection_begins_between_last_accept_and_close(self):
         """Callers connect without a pause while the server stops.
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -11,7 +11,7 @@
 from standins.backend import BackendStandIn
 from standins.site import free_address
 from tarragonramp.adapters.backends import HttpBackends
-from tarragonramp.adapters.http import Answer, HttpPool, HttpPools
+from tarragonramp.adapters.http import HttpPool, HttpPools, Response
 from tarragonramp.adapters.web import WebServer
 from tarragonramp.clock import Clock
 from tarragonramp.meters import RequestMeter
@@ -228,8 +228,8 @@
         address = self.start(server)
         get = b"GET /records HTTP/1.1\r\nHost: h\r\nX-Key: k\r\n\r\n"
         gevent.spawn(send_raw, address, get, 0.05)
-        self.assertFalse(server.hung_up.wait(0.04))
-        self.assertTrue(server.hung_up.wait(0.5))
+        self.assertFalse(server.client_closed.wait(0.04))
+        self.assertTrue(server.client_closed.wait(0.5))
 
     def test_a_cancelled_request_has_no_effect_at_the_server(self):
         """A caller disconnects while the server is still processing its request."""
@@ -288,8 +288,8 @@
         """
         server = ScriptedServer([OK])
         self.start(server, ScriptedServer([OK]))
-        refusal = Answer(409, (("Tarragon-Outcome", "not-run"),), b"")
-        success = Answer(200, (), b"")
+        refusal = Response(409, (("Tarragon-Outcome", "not-run"),), b"")
+        success = Response(200, (), b"")
 
         def forward(forwarded_request):
             return Success(refusal if forwarded_request.server == "pages0" else success)
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -12,9 +12,9 @@
 from tarragonramp.adapters.fleet_peers import PING, PeerApplication
 from tarragonramp.balancing import Chosen, Loads
 from tarragonramp.clock import ManualClock
-from tarragonramp.directory import MISSING_USE_MS, BackendServer
+from tarragonramp.directory import MISSING_ROUTABLE_MS, BackendServer
 from tarragonramp.fleet_view import FOLLOWED_KINDS, SERVER, FleetView
-from tarragonramp.leading import LeaderRecord
+from tarragonramp.leadership import LeaderRecord
 from tarragonramp.roles.follower import Follower
 from tarragonramp.roles.leadership import Leadership
 
@@ -58,7 +58,7 @@
             self.leader, self.leader.follower, None, None
         )
         nothing = {"version": 1, "names": [], "objects": []}
-        self.leader.follower.take_news(dict.fromkeys(FOLLOWED_KINDS, nothing))
+        self.leader.follower.apply_updates(dict.fromkeys(FOLLOWED_KINDS, nothing))
         self.leader.follower.follow_store("leads")
         self.followers = [self.new_daemon(f"e{i}") for i in range(1, N_DAEMONS)]
         self.version = 1000
@@ -98,7 +98,7 @@
             "names": list(self.entries),
             "objects": list(self.entries.values()),
         }
-        self.leader.follower.take_news({SERVER: news})
+        self.leader.follower.apply_updates({SERVER: news})
 
     def add_server(self, name):
         """Add one server and its entry."""
@@ -121,7 +121,7 @@
         """Two rounds have to fit: the leader's own call to the store waits for one."""
         self.change(joining=N_LEAVING, leaving=N_LEAVING)
         round_ms = self.ping_all() / LINK_BYTES_PER_MS
-        self.assertLess(2 * round_ms, DRAIN_MS - MISSING_USE_MS - MESSAGE_DELAY_MS)
+        self.assertLess(2 * round_ms, DRAIN_MS - MISSING_ROUTABLE_MS - MESSAGE_DELAY_MS)
         for daemon in self.followers:
             known = daemon.follower.objects[SERVER]
             self.assertEqual(known.keys(), self.entries.keys())
--- a/tests/test_fleet_path.py
+++ b/tests/test_fleet_path.py
@@ -67,7 +67,7 @@
         self.assertEqual(self.site.call("d1", "/view", "n2").status, 404)
 
     def test_servers_get_the_remaining_deadline(self):
-        self.site.call("d2", "/view/", "left-1", patience_ms=700)
+        self.site.call("d2", "/view/", "left-1", caller_timeout_ms=700)
         runs = [
             entry
             for name in self.site.servers
--- a/tests/test_fleet_routes.py
+++ b/tests/test_fleet_routes.py
@@ -5,12 +5,12 @@
 
 from tarragonramp import ManualClock
 from tarragonramp.fleet_view import FleetView
-from tarragonramp.manifest import Manifest, Part, Route, RouteTable
+from tarragonramp.manifest import Manifest, Route, RouteTable, WeightedService
 
 
 def route(prefix, *parts, host="h.example", priority=1):
     """Return a route to services with weights."""
-    made = tuple(Part(name, weight) for name, weight in parts)
+    made = tuple(WeightedService(name, weight) for name, weight in parts)
     return Route(host, prefix, made, True, 1000.0, 500.0, priority=priority)
 
 
@@ -51,11 +51,11 @@
         """The shares of nine daemons with a few dozen requests each are summed up."""
         found = self.table.find("h.example", "/s/")
         counts = collections.Counter(
-            RouteTable(self.table.manifest).part_of(found, turn / 9.0)
+            RouteTable(self.table.manifest).choose_service(found, turn / 9.0)
             for turn in range(9)
         )
         for _ in range(100):
-            counts[self.table.part_of(found, 0.3)] += 1
+            counts[self.table.choose_service(found, 0.3)] += 1
         self.assertAlmostEqual(counts["two"] / sum(counts.values()), 0.1, delta=0.03)
 
     def test_most_urgent_route_of_a_service(self):
@@ -70,7 +70,7 @@
 
     def test_older_manifests_are_ignored(self):
         view = FleetView(ManualClock())
-        self.assertTrue(view.take_routes(RouteTable(Manifest(7))))
-        self.assertFalse(view.take_routes(RouteTable(Manifest(5))))
-        self.assertFalse(view.take_routes(RouteTable(Manifest(7))))
+        self.assertTrue(view.update_routes(RouteTable(Manifest(7))))
+        self.assertFalse(view.update_routes(RouteTable(Manifest(5))))
+        self.assertFalse(view.update_routes(RouteTable(Manifest(7))))
         self.assertEqual(view.manifest.version, 7)
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -10,7 +10,7 @@
 
 from tarragonramp.clock import Clock, ManualClock
 from tarragonramp.dealing import Candidate, first_deal
-from tarragonramp.directory import MISSING_USE_MS, BackendServer
+from tarragonramp.directory import MISSING_ROUTABLE_MS, BackendServer
 from tarragonramp.fleet_view import RANGES, SERVER, FleetView
 from tarragonramp.ranges import RangeTable
 from tarragonramp.roles.follower import Follower
@@ -33,7 +33,7 @@
     """Let a follower apply all tables as stored at a version."""
     row = ["parts", version, table_at(version).to_spec()]
     news = {"version": version, "names": ["parts"], "objects": [row]}
-    follower.take_news({RANGES: news})
+    follower.apply_updates({RANGES: news})
 
 
 class StoreFailureTest(unittest.TestCase):
@@ -47,14 +47,14 @@
         read(one, 10)
         one.record_store_failure()
         for version in range(11, 31, 2):
-            other.take_news(one.news_since(other.changed))
+            other.apply_updates(one.updates_since(other.changed))
             read(other, version)
-            one.take_news(other.news_since(one.changed))
+            one.apply_updates(other.updates_since(one.changed))
             read(one, version + 1)
             clock.advance(1000.0)
-        other.take_news(one.news_since(other.changed))
+        other.apply_updates(one.updates_since(other.changed))
         for follower in (one, other):
-            news = follower.news_since({})[RANGES]
+            news = follower.updates_since({})[RANGES]
             self.assertIsNone(news["trouble_ms_ago"])
 
 
@@ -67,7 +67,7 @@
     def news(self, kind, since_version, address=""):
         """Return the other follower's updates since a version."""
         self.asked.append(address)
-        return self.follower.news_since({kind: since_version})
+        return self.follower.updates_since({kind: since_version})
 
 
 class MissingServerTest(unittest.TestCase):
@@ -80,15 +80,15 @@
         row = ["s1", 5, {}]
         listed = {"version": 5, "names": ["s1"], "objects": [row]}
         for follower in chain:
-            follower.take_news({SERVER: listed})
+            follower.apply_updates({SERVER: listed})
         chain[0].record_store_failure()
-        chain[0].take_news({SERVER: {"version": 7, "names": [], "objects": []}})
+        chain[0].apply_updates({SERVER: {"version": 7, "names": [], "objects": []}})
         for sender, receiver in itertools.pairwise(chain):
             clock.advance(500.0)
-            receiver.take_news(sender.news_since(receiver.changed))
+            receiver.apply_updates(sender.updates_since(receiver.changed))
         last = chain[-1].view.directory
         self.assertEqual(len(last.usable("desk")), 1)
-        clock.advance(MISSING_USE_MS - 1000.0)
+        clock.advance(MISSING_ROUTABLE_MS - 1000.0)
         self.assertEqual(last.usable("desk"), ())
 
 
@@ -107,8 +107,8 @@
 
     def pass_on_updates(self):
         """Pass on the leader's updates; return their size in bytes."""
-        news = self.leader.news_since(self.daemon.changed)
-        self.daemon.take_news(json.loads(json.dumps(news)))
+        news = self.leader.updates_since(self.daemon.changed)
+        self.daemon.apply_updates(json.loads(json.dumps(news)))
         return len(json.dumps(news))
 
     def assert_same_table(self):
@@ -124,7 +124,7 @@
         )
 
     def test_updates_contain_only_moved_ranges(self):
-        whole = len(json.dumps(self.leader.news_since({})))
+        whole = len(json.dumps(self.leader.updates_since({})))
         read(self.leader, 12)
         self.assertLess(self.pass_on_updates(), whole / 10)
         self.assert_same_table()
@@ -149,10 +149,10 @@
         read(self.leader, 12)
         self.pass_on_updates()
         third = new_follower()
-        third.take_news(self.daemon.news_since({}))
+        third.apply_updates(self.daemon.updates_since({}))
         read(self.leader, 14)
         self.pass_on_updates()
-        third.take_news(self.daemon.news_since(third.changed))
+        third.apply_updates(self.daemon.updates_since(third.changed))
         self.assertEqual(third.view.table_version("parts"), 14)
         self.assert_same_table()
 
--- a/tests/test_gatekeeper.py
+++ b/tests/test_forwarding.py
@@ -6,12 +6,12 @@
 from returns.result import Failure, Success
 
 from tarragonramp import ManualClock
-from tarragonramp.adapters.http import Answer
+from tarragonramp.adapters.http import Response
 from tarragonramp.errors import NotSentError
-from tarragonramp.gates import Gate, Order, Warmth
-from tarragonramp.roles.gatekeeper import GateKeeper
+from tarragonramp.gates import ForwardedRequest, Gate, WarmupState
+from tarragonramp.roles.forwarding import ForwardHandler
 
-REQUEST = Order("t", "desk", "s1", -1, 0, "POST", "/x", (), b"", 5000.0)
+REQUEST = ForwardedRequest("t", "desk", "s1", -1, 0, "POST", "/x", (), b"", 5000.0)
 
 
 class GateKeeperTest(unittest.TestCase):
@@ -19,16 +19,16 @@
 
     def setUp(self):
         self.clock, self.pause_ms, self.n_sent = ManualClock(10_000.0), 0.0, 0
-        warmth = Warmth(3, 3)
+        warmup = WarmupState(3, 3)
         self.managed_server = types.SimpleNamespace(
-            gate=Gate(warmth, 800.0, 0.0, 800.0),
+            gate=Gate(warmup, 800.0, 0.0, 800.0),
             vm=types.SimpleNamespace(address="s1:80"),
             ledger=types.SimpleNamespace(term=1),
             role="steward.t.desk.s1",
             checks=False,
         )
         held = types.SimpleNamespace(number=1, right_until_ms=10_800.0)
-        self.gatekeeper = GateKeeper(
+        self.forward_handler = ForwardHandler(
             types.SimpleNamespace(managed_server=lambda role: self.managed_server),
             None,
             types.SimpleNamespace(
@@ -39,7 +39,7 @@
             self.clock,
         )
 
-    def has_lost_idle(self):
+    def has_closed_idle(self):
         """Return whether the server has closed the idle connection."""
         return False
 
@@ -49,11 +49,11 @@
         if not may_send():
             return Failure(NotSentError("too late"))
         self.n_sent += 1
-        return Success(Answer(200, (), b""))
+        return Success(Response(200, (), b""))
 
     def test_a_request_is_sent_within_the_right(self):
         self.pause_ms = 799.0
-        self.assertEqual(self.gatekeeper.serve(REQUEST).unwrap().status, 200)
+        self.assertEqual(self.forward_handler.serve(REQUEST).unwrap().status, 200)
         self.assertEqual(self.n_sent, 1)
 
     def test_a_steward_paused_after_its_decision_sends_nothing(self):
@@ -63,6 +63,6 @@
         the next term.
         """
         self.pause_ms = 800.0
-        result = self.gatekeeper.serve(REQUEST)
+        result = self.forward_handler.serve(REQUEST)
         self.assertIsInstance(result.failure(), NotSentError)
-        self.assertEqual((self.n_sent, self.managed_server.gate.in_hand), (0, 0))
+        self.assertEqual((self.n_sent, self.managed_server.gate.in_flight), (0, 0))
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -192,7 +192,7 @@
                 result, pool, server = self.exchange(script, headers=headers)
                 self.assertIsInstance(result.failure(), UnansweredError)
                 self.assertEqual(pool._idle, [])
-                self.assertTrue(server.hung_up.wait(1.0))
+                self.assertTrue(server.client_closed.wait(1.0))
 
     def test_complete_responses(self):
         early = b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n"
@@ -227,7 +227,7 @@
         pool = HttpPool(server.address)
         expired = pool.exchange("POST", "/", [], b"", 300, may_send=lambda: False)
         self.assertIsInstance(expired.failure(), NotSentError)
-        self.assertTrue(server.hung_up.wait(1.0))
+        self.assertTrue(server.client_closed.wait(1.0))
         self.assertEqual(pool._idle, [])
         allowed = pool.exchange("POST", "/", [], b"", 300, may_send=lambda: True)
         self.assertEqual(allowed.unwrap().body, b"hi")
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -2,16 +2,16 @@
 
 import unittest
 
-from tarragonramp.gates import Gate, Warmth
+from tarragonramp.gates import Gate, WarmupState
 
 NO_LIMIT = float("inf")
 
 
 def warm(slots):
     """Return the state of a server that has long been warm."""
-    warmth = Warmth(1, slots)
-    warmth.observe("b1", False, -1e6)
-    return warmth
+    warmup = WarmupState(1, slots)
+    warmup.observe("b1", False, -1e6)
+    return warmup
 
 
 def gate():
@@ -38,7 +38,7 @@
         """
         paused = gate()
         self.assertEqual(paused.admit(0, 1301.0, 9000.0, 1300.0).timeout_ms, 0.0)
-        self.assertEqual(paused.in_hand, 0)
+        self.assertEqual(paused.in_flight, 0)
 
     def test_requests_in_flight_are_limited_to_the_slots(self):
         full = gate()
@@ -121,21 +121,21 @@
 class WarmupStateTest(unittest.TestCase):
     """Load of a server after its start, with 1 cold slot and 4 slots."""
 
-    def widths(self, warmth, *times_ms):
-        return [warmth.width(at_ms) for at_ms in times_ms]
+    def widths(self, warmup, *times_ms):
+        return [warmup.max_in_flight(at_ms) for at_ms in times_ms]
 
     def test_cold_server_is_limited_to_its_cold_slots(self):
-        warmth = Warmth(1, 4)
-        self.assertEqual(warmth.width(0.0), 1)
-        warmth.observe("b1", True, 10.0)
-        self.assertEqual(self.widths(warmth, 10.0, 1e6), [1, 1])
+        warmup = WarmupState(1, 4)
+        self.assertEqual(warmup.max_in_flight(0.0), 1)
+        warmup.observe("b1", True, 10.0)
+        self.assertEqual(self.widths(warmup, 10.0, 1e6), [1, 1])
 
     def test_limit_of_a_warmed_up_server_grows_in_steps(self):
-        warmth = Warmth(1, 4)
-        warmth.observe("b1", False, 0.0)
-        self.assertEqual(self.widths(warmth, 0.0, 500.0, 1000.0, 1e6), [1, 2, 4, 4])
-        self.assertFalse(warmth.is_warm(999.0))
-        self.assertTrue(warmth.is_warm(1000.0))
+        warmup = WarmupState(1, 4)
+        warmup.observe("b1", False, 0.0)
+        self.assertEqual(self.widths(warmup, 0.0, 500.0, 1000.0, 1e6), [1, 2, 4, 4])
+        self.assertFalse(warmup.is_warm(999.0))
+        self.assertTrue(warmup.is_warm(1000.0))
 
     def test_sign_of_a_cold_start_resets_the_limit(self):
         """A server restarts, or is cold without reporting it and sheds a request."""
@@ -143,12 +143,12 @@
             lambda w: w.observe("b2", False, 5000.0),
             lambda w: w.observe("b1", True, 5000.0),
             lambda w: w.shed(5000.0),
-            lambda w: w.suspect(),
+            lambda w: w.invalidate(),
         ):
-            warmth = Warmth(1, 4)
-            warmth.observe("b1", False, 0.0)
-            hint(warmth)
-            self.assertEqual(warmth.width(5000.0), 1)
+            warmup = WarmupState(1, 4)
+            warmup.observe("b1", False, 0.0)
+            hint(warmup)
+            self.assertEqual(warmup.max_in_flight(5000.0), 1)
 
     def test_server_known_to_be_warm_stays_warm_for_its_new_steward(self):
         """Guards against treating warm servers as cold after a change of steward.
@@ -157,30 +157,30 @@
         restarted daemon, which has to send through the steward, would refuse callers
         for as long as the steward took these servers for cold.
         """
-        gate = Gate(Warmth(1, 4, vouched=True), 800.0, 500.0, 800.0)
+        gate = Gate(WarmupState(1, 4, known_warm=True), 800.0, 500.0, 800.0)
         self.assertFalse(gate.is_full(0.0))
-        gate.warmth.observe("b1", False, 10.0)
-        self.assertTrue(gate.warmth.is_warm(10.0))
+        gate.warmup.observe("b1", False, 10.0)
+        self.assertTrue(gate.warmup.is_warm(10.0))
 
     def test_report_of_the_server_overrides_known_warm(self):
         for hint in (
             lambda w: w.observe("b1", True, 10.0),
-            lambda w: w.suspect(),
+            lambda w: w.invalidate(),
             lambda w: w.shed(10.0),
         ):
-            warmth = Warmth(1, 4, vouched=True)
-            hint(warmth)
-            self.assertEqual(warmth.width(10.0), 1)
-        warmth = Warmth(1, 4, vouched=True)
-        warmth.observe("b1", False, 10.0)
-        warmth.observe("b2", False, 20.0)
-        self.assertEqual(warmth.width(20.0), 1)
+            warmup = WarmupState(1, 4, known_warm=True)
+            hint(warmup)
+            self.assertEqual(warmup.max_in_flight(10.0), 1)
+        warmup = WarmupState(1, 4, known_warm=True)
+        warmup.observe("b1", False, 10.0)
+        warmup.observe("b2", False, 20.0)
+        self.assertEqual(warmup.max_in_flight(20.0), 1)
 
     def test_new_steward_waits_for_the_right_of_the_previous_one(self):
         """Guards against sending a cold server twice the load that it can take.
 
         A steward dies with a request in flight that its successor does not know of.
         """
-        gate = Gate(Warmth(1, 4), 800.0, 500.0, 800.0)
+        gate = Gate(WarmupState(1, 4), 800.0, 500.0, 800.0)
         self.assertTrue(gate.is_full(499.0))
         self.assertFalse(gate.is_full(500.0))
--- a/tests/test_granter.py
+++ b/tests/test_granter.py
@@ -24,11 +24,11 @@
 )
 from tarragonramp.fleet_view import FleetView
 from tarragonramp.heat import Heat
-from tarragonramp.leading import LATE_GRANT_MS, Inherited, LeaseTiming
+from tarragonramp.leadership import LATE_GRANT_MS, InheritedGrants, LeaseTiming
 from tarragonramp.manifest import N_KEYS, FleetService, Manifest, RouteTable
 from tarragonramp.model import Stored
 from tarragonramp.ranges import (
-    GAP,
+    TOKEN_STEP,
     KeyRange,
     RangeTable,
     even_bounds,
@@ -52,7 +52,7 @@
         self.calls, self.answers, self.lost = [], {}, False
         self.bounds = []
 
-    def has_lost(self, address):
+    def has_closed_connection(self, address):
         """Return whether the kept connection was closed."""
         return self.lost
 
@@ -80,15 +80,15 @@
         self.clock = ManualClock(100_000.0)
         self.view = FleetView(self.clock)
         services = {"parts": FleetService("parts", divided=True)}
-        self.view.take_routes(RouteTable(Manifest(1, (), services)))
-        self.view.servers_read = True
+        self.view.update_routes(RouteTable(Manifest(1, (), services)))
+        self.view.servers_loaded = True
         self.store, self.servers = Store(), Servers()
         self.leader = types.SimpleNamespace(
             timing=TIMING,
             leads=True,
             may_move=True,
             term=1,
-            inherited=Inherited(-1e9, -1e9),
+            inherited=InheritedGrants(-1e9, -1e9),
             heat_of=lambda service: Heat({}, 0.0, 1.0),
             loads=Loads("a"),
         )
@@ -108,18 +108,18 @@
         item = KeyRange(0, N_KEYS - 1, owner, life, token)
         table = RangeTable("parts", (item,), {owner: f"{owner}:80"})
         stored = self.store.put("ramp-ranges", "parts", table.to_spec(), 0).unwrap()
-        self.view.take_table(table, stored.version)
+        self.view.update_table(table, stored.version)
 
     def register(self, *servers):
         """Add servers to the store and to the leader's view."""
         for item in servers:
-            self.view.directory.take(item)
+            self.view.directory.upsert(item)
             self.store.objects["server", item.name] = Stored("server", "", 1, item)
 
     def set_previous_leader_stop(self, in_ms):
         """Let a previous leader with unknown grants stop after some time."""
         stopped_ms = self.clock.now_ms() + in_ms
-        self.leader.inherited = Inherited(stopped_ms, stopped_ms + LATE_GRANT_MS)
+        self.leader.inherited = InheritedGrants(stopped_ms, stopped_ms + LATE_GRANT_MS)
 
     def start_leader(self):
         """Start the leader's task."""
@@ -154,7 +154,7 @@
         names = [(kind, name) for kind, name, _ in self.servers.calls]
         self.assertIn(("release", "old"), names)
         self.assertLess(names.index(("release", "old")), names.index(("grant", "new")))
-        self.assertEqual(set(self.grants_to("new")), {1 + GAP})
+        self.assertEqual(set(self.grants_to("new")), {1 + TOKEN_STEP})
         settled = self.wait(lambda: not self.view.tables["parts"].find(0).is_moving)
         self.assertTrue(settled)
 
@@ -185,7 +185,7 @@
         self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.servers.answers |= {("grant", "old"): REFUSED, ("release", "old"): REFUSED}
-        self.view.directory.lose("old")
+        self.view.directory.remove_server("old")
         self.assertFalse(self.wait(lambda: self.grants_to("new"), 0.7))
         self.clock.advance(TIMING.hold_ms)
         self.assertFalse(self.wait(lambda: self.grants_to("new"), 0.7))
@@ -204,7 +204,7 @@
         self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.servers.answers |= {("grant", "old"): REFUSED, ("release", "old"): REFUSED}
-        self.view.directory.lose("old")
+        self.view.directory.remove_server("old")
         self.clock.advance(TIMING.longest_hold_ms + 100.0)
         self.assertFalse(self.wait(lambda: self.grants_to("new"), 0.7))
         self.clock.advance(LATE_GRANT_MS)
@@ -232,7 +232,7 @@
         self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
         self.register(server("third"))
-        self.view.directory.lose("new")
+        self.view.directory.remove_server("new")
         self.assertFalse(self.wait(lambda: self.grants_to("third"), 1.2))
 
     def start_with_unanswered_renewal(self):
@@ -252,7 +252,7 @@
         it.
         """
         self.start_with_unanswered_renewal()
-        self.view.directory.lose("old")
+        self.view.directory.remove_server("old")
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
         calls = [c for c in self.servers.calls if c[1] == "old"]
         at = calls.index(("release", "old", FENCE))
@@ -272,12 +272,12 @@
         self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.report_hot_keys(100, 101, 102, 103)
-        self.assertTrue(self.wait(lambda: 1 + GAP in self.grants_to("new")))
+        self.assertTrue(self.wait(lambda: 1 + TOKEN_STEP in self.grants_to("new")))
         self.assertIn(("release", "old", 1), self.servers.calls)
         table = self.view.tables["parts"]
         self.assertGreater(len(table.ranges), 1)
         owners = {item.owner: item.token for item in table.ranges}
-        self.assertEqual(owners, {"old": 1, "new": 1 + GAP})
+        self.assertEqual(owners, {"old": 1, "new": 1 + TOKEN_STEP})
 
     def test_doubt_about_range_applies_to_each_split_piece(self):
         """A range is split while a renewal of all of it has no response.
@@ -287,10 +287,10 @@
         """
         self.start_with_unanswered_renewal()
         self.report_hot_keys(100, 101, 102, 103)
-        self.assertTrue(self.wait(lambda: 1 + GAP in self.grants_to("new")))
+        self.assertTrue(self.wait(lambda: 1 + TOKEN_STEP in self.grants_to("new")))
         self.assertIn(("release", "old", FENCE), self.servers.calls)
         self.assertNotIn(("release", "old", 1), self.servers.calls)
-        told = {first for _, first, _, _ in self.doubts()}
+        told = {first for _, first, _, _ in self.in_doubt_grants()}
         kept = {i.first for i in self.view.tables["parts"].ranges if i.owner == "old"}
         self.assertLessEqual(kept, told)
 
@@ -318,7 +318,7 @@
         self.start_leader()
         self.assertTrue(self.wait(lambda: delayed))
         self.report_hot_keys(100, 101, 102, 103, hottest_keys=[50])
-        self.assertTrue(self.wait(lambda: 1 + GAP in self.grants_to("new"), 5.0))
+        self.assertTrue(self.wait(lambda: 1 + TOKEN_STEP in self.grants_to("new"), 5.0))
         table = self.view.tables["parts"]
         kept = {(i.first, i.last) for i in table.ranges if i.owner == "old"}
         self.assertIn(0, {first for first, _ in kept})
@@ -373,7 +373,7 @@
         change of leader, even if no server ever left a grant unanswered.
         """
         now_ms = self.clock.now_ms()
-        self.leader.inherited = Inherited(now_ms, now_ms, {})
+        self.leader.inherited = InheritedGrants(now_ms, now_ms, {})
         self.assign_all()
         self.register(server("new"))
         self.servers.answers |= {("grant", "old"): REFUSED, ("release", "old"): REFUSED}
@@ -387,25 +387,25 @@
         self.register(server("old"), server("new"))
         self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
-        self.assertEqual(self.doubts(), [])
+        self.assertEqual(self.in_doubt_grants(), [])
         self.servers.answers["grant", "old"] = UNANSWERED
         self.clock.advance(TIMING.regrant_ms)
-        self.assertTrue(self.wait(lambda: self.doubts(), 5.0))
-        (service, first, token, left_ms), *more = self.doubts()
+        self.assertTrue(self.wait(lambda: self.in_doubt_grants(), 5.0))
+        (service, first, token, left_ms), *more = self.in_doubt_grants()
         self.assertEqual((service, first, token, more), ("parts", 0, 1, []))
         self.assertGreater(left_ms, LATE_GRANT_MS - 100.0)
 
-    def doubts(self):
+    def in_doubt_grants(self):
         """Return the rows that a leader reports to its successor."""
-        doubts = self.granter.keeper.doubts()
-        return doubts.to_message(self.clock.now_ms())["ranges"]
+        in_doubt_grants = self.granter.tracker.in_doubt_grants()
+        return in_doubt_grants.to_message(self.clock.now_ms())["ranges"]
 
     def test_inherited_doubts_are_reported_to_next_leader(self):
         key, until_ms = ("parts", 0, 1), self.clock.now_ms() + 5000.0
-        before = Inherited(self.clock.now_ms(), 0.0, {key: until_ms})
+        before = InheritedGrants(self.clock.now_ms(), 0.0, {key: until_ms})
         self.leader.inherited = before
-        told = self.granter.keeper.doubts().to_message(self.clock.now_ms())
-        again = Inherited.from_message(told, self.clock.now_ms())
+        told = self.granter.tracker.in_doubt_grants().to_message(self.clock.now_ms())
+        again = InheritedGrants.from_message(told, self.clock.now_ms())
         self.assertEqual(again.doubt_ends_ms(key), until_ms)
         self.assertLess(again.doubt_ends_ms(("parts", 7, 1)), until_ms - 4000.0)
 
@@ -424,7 +424,7 @@
         )
         table = RangeTable("parts", ranges, {"lost": "lost:80", "old": "old:80"})
         stored = self.store.put("ramp-ranges", "parts", table.to_spec(), 0).unwrap()
-        self.view.take_table(table, stored.version)
+        self.view.update_table(table, stored.version)
         self.servers.answers["release", "lost"] = REFUSED
         self.register(server("old"), server("new"))
         self.set_previous_leader_stop(0.0)
@@ -443,13 +443,13 @@
         self.servers.answers |= {("grant", "old"): wrong, ("release", "old"): wrong}
         self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
-        self.assertEqual(self.grants_to("new")[0], 1 + GAP)
+        self.assertEqual(self.grants_to("new")[0], 1 + TOKEN_STEP)
 
     def test_restarted_owner_gets_higher_token(self):
         self.assign_all()
         self.register(server("old", life=2))
         self.start_leader()
-        self.assertTrue(self.wait(lambda: 1 + GAP in self.grants_to("old")))
+        self.assertTrue(self.wait(lambda: 1 + TOKEN_STEP in self.grants_to("old")))
         self.assertNotIn(1, self.grants_to("old"))
 
     def test_tokens_are_raised_after_failed_grant(self):
@@ -546,7 +546,7 @@
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
         self.leader.may_move = False
         closed = iter([True])
-        self.servers.has_lost = lambda address: next(closed, False)
+        self.servers.has_closed_connection = lambda address: next(closed, False)
         before = len(self.grants_to("old"))
         gevent.sleep(TIMING.regrant_ms / 1000.0 + 3.0)
         self.assertEqual(len(self.grants_to("old")), before)
@@ -565,7 +565,7 @@
         self.assertEqual(self.servers.bounds[-1], {"life": 4, "reuse_only": True})
         # No failure of the server is known: it keeps its keys, and renewals are
         # retried.
-        connection_state = self.granter.keeper.connection_state(("old", 4))
+        connection_state = self.granter.tracker.connection_state(("old", 4))
         self.assertEqual(
             (connection_state.is_broken, connection_state.failing_since_ms),
             (False, None),
@@ -590,7 +590,7 @@
         self.servers.answers["grant", "old"] = UNCONNECTED
         self.start_leader()
         self.assertTrue(self.wait(lambda: len(stored) >= 2))
-        raised = 1 + GAP
+        raised = 1 + TOKEN_STEP
         self.assertEqual(stored[:2], [(True, 1, [1]), (False, raised, [raised])])
 
     def test_unanswered_first_grant_opens_no_second_connection(self):
@@ -604,9 +604,9 @@
 
     def test_new_leader_uses_tokens_from_store(self):
         """Other daemons may pass on the same version of the table with older tokens."""
-        self.assign_all(token=1 + GAP)
+        self.assign_all(token=1 + TOKEN_STEP)
         version = self.view.table_version("parts")
-        self.view.take_table(self.view.tables["parts"], version + 1)
+        self.view.update_table(self.view.tables["parts"], version + 1)
         told = RangeTable("parts", (KeyRange(0, N_KEYS - 1, "old", 1, 1),), {})
         self.view.tables["parts"] = told
         table = self.store.objects["ramp-ranges", "parts"]
@@ -615,12 +615,12 @@
         self.register(server("old"))
         self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("old")))
-        self.assertEqual(self.grants_to("old")[0], 1 + GAP)
+        self.assertEqual(self.grants_to("old")[0], 1 + TOKEN_STEP)
 
     def test_new_leader_reads_table_before_acting(self):
         """Otherwise it would renew owners that the previous leader replaced."""
         self.assign_all()
-        moved = KeyRange(0, N_KEYS - 1, "new", 1, 1 + GAP)
+        moved = KeyRange(0, N_KEYS - 1, "new", 1, 1 + TOKEN_STEP)
         table = RangeTable("parts", (moved,), {"new": "new:80"})
         version = self.view.table_version("parts")
         self.store.put("ramp-ranges", "parts", table.to_spec(), version)
@@ -685,7 +685,7 @@
 
     def calls_beyond_first_token(self):
         """Return the calls to later owners beyond the second one's first token."""
-        token = 1 + GAP
+        token = 1 + TOKEN_STEP
         calls = [c for c in self.servers.calls if c[1] != "first"]
         return [c for c in calls if c[0] == "release" or c[2] > token]
 
@@ -702,7 +702,7 @@
             send=lambda relay, name, address, items, *rest: [UNANSWERED] * len(items),
         )
         self.start_leader()
-        self.assertTrue(self.wait(lambda: len(self.doubts()) == 4))
+        self.assertTrue(self.wait(lambda: len(self.in_doubt_grants()) == 4))
         self.register(attrs.evolve(server("old"), draining=True), server("new"))
         self.assertTrue(self.wait(lambda: len(self.releases_of("old")) == 4))
         self.assertEqual(set(self.releases_of("old")), {FENCE})
@@ -714,7 +714,7 @@
         )
         table = RangeTable("parts", ranges, {owner: f"{owner}:80"})
         stored = self.store.put("ramp-ranges", "parts", table.to_spec(), 0).unwrap()
-        self.view.take_table(table, stored.version)
+        self.view.update_table(table, stored.version)
 
     def test_unconfirmed_leader_does_not_continue_moves(self):
         """A leader that resumes after a pause continues the same move as its successor.
@@ -753,7 +753,7 @@
             ("grant", "old"): UNANSWERED,
             ("release", "old"): UNANSWERED,
         }
-        self.view.directory.lose("old")
+        self.view.directory.remove_server("old")
         self.leader.leads = self.leader.may_move = True
         self.assertFalse(self.wait(lambda: self.grants_to("new"), 0.8))
         self.clock.advance(TIMING.longest_hold_ms + 100.0)
@@ -799,7 +799,7 @@
             ("release", "new"): UNANSWERED,
         }
         self.register(server("third"))
-        self.view.directory.lose("new")
+        self.view.directory.remove_server("new")
         self.assertFalse(self.wait(lambda: self.grants_to("third"), 1.0))
         releases = [c for c in self.servers.calls if c[:2] == ("release", "old")]
         self.assertEqual(len(releases), 1)
@@ -813,4 +813,4 @@
         self.register(server("new"))
         self.start_leader()
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
-        self.assertEqual(self.grants_to("new")[0], 9 + GAP)
+        self.assertEqual(self.grants_to("new")[0], 9 + TOKEN_STEP)
--- a/tests/test_hotspots.py
+++ b/tests/test_hotspots.py
@@ -13,7 +13,7 @@
 from tarragonramp.heat import HALF_LIFE_MS, TOLD_KEYS, Heat, HeatCounts, WorkCounts
 from tarragonramp.hotspots import MAX_RANGES_PER_SERVER, spread_heat
 from tarragonramp.manifest import N_KEYS
-from tarragonramp.ranges import GAP
+from tarragonramp.ranges import TOKEN_STEP
 
 WINDOW_MS = 4300.0
 
@@ -140,7 +140,7 @@
             table = table.with_ranges([r.settled() for r in changed])
         owned = table.find(item.first + 9)
         self.assertEqual((owned.owner, owned.n_keys), ("s4", 1))
-        self.assertEqual(owned.token, 1 + GAP)
+        self.assertEqual(owned.token, 1 + TOKEN_STEP)
 
     def test_cuts_end_at_a_limit(self):
         """Busy places wander over all keys for days, and nobody joins ranges again."""
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -13,7 +13,7 @@
 from tarragonramp.directory import BackendServer
 from tarragonramp.errors import ConflictError, NotFoundError, PlatformBusyError
 from tarragonramp.fleet_view import FleetView
-from tarragonramp.leading import LATE_GRANT_MS, Inherited
+from tarragonramp.leadership import LATE_GRANT_MS, InheritedGrants
 from tarragonramp.model import Stored
 from tarragonramp.roles.leadership import (
     MIN_PING_INTERVAL_MS,
@@ -76,11 +76,11 @@
         """Record that a call to the store failed."""
         self.events.append("store failure")
 
-    def news_since(self, versions):
+    def updates_since(self, versions):
         """Return no updates."""
         return {}
 
-    def take_news(self, news):
+    def apply_updates(self, news):
         """Do nothing."""
 
 
@@ -109,8 +109,8 @@
         """Return a daemon's leadership; peers reach each other by address."""
         address = f"{name}:1"
         peers = types.SimpleNamespace(
-            ping=lambda to, message, wait_ms: self.exchange(to, "heard", message),
-            step_down=lambda to, *args: self.exchange(to, "told_to_step_down", *args),
+            ping=lambda to, message, wait_ms: self.exchange(to, "handle_ping", message),
+            step_down=lambda to, *args: self.exchange(to, "handle_step_down", *args),
         )
         created = Leadership(
             name,
@@ -147,7 +147,7 @@
         self.other._discover_leader()
         self.assertTrue(self.one.leads)
         self.assertFalse(self.other.leads)
-        self.one._keep()
+        self.one._renew_record()
         self.assertTrue(self.one.may_move)
 
     def test_unresponsive_leader_is_replaced_and_notified(self):
@@ -156,7 +156,7 @@
         self.assertTrue(self.other.leads)
         self.assertFalse(self.one.leads)
         self.assertLessEqual(self.other.inherited.stopped_ms, self.clock.now_ms())
-        self.one._keep()
+        self.one._renew_record()
         self.assertFalse(self.one.leads)
 
     def test_leader_cut_off_from_store_limits_watchers(self):
@@ -169,7 +169,7 @@
         names = [f"e{domain}-{at:02}" for domain in "abcd" for at in range(16)]
         for is_connected, n_watchers in ((True, 1), (False, WATCHERS_WHEN_CUT_OFF)):
             self.one.follower.hears_store = is_connected
-            self.one._keep()
+            self.one._renew_record()
             self.assertEqual(len(self.appointed_watchers(names)), n_watchers)
         domains = {name[:2] for name in self.appointed_watchers(names)}
         self.assertEqual(domains, {"ea", "eb", "ec", "ed"})
@@ -177,11 +177,11 @@
 
     def appointed_watchers(self, names):
         """Return the names of daemons that the leader tells to follow the store."""
-        self.one.follower.news_since = lambda versions: {"any": {}}
+        self.one.follower.updates_since = lambda versions: {"any": {}}
         told = {}
         for name in names * 2:
             message = {"name": name, "address": f"{name}:1", "versions": {}}
-            told[name] = self.one.heard(message)["watch"]
+            told[name] = self.one.handle_ping(message)["watch"]
         return [name for name, watches in told.items() if watches]
 
     def test_unconfirmed_leader_appoints_watchers_in_time(self):
@@ -198,7 +198,7 @@
         self.one._discover_leader()
         lost_ms = clock.now_ms() + 50.0
         self.one.follower = FollowerLosingStore(clock, lost_ms)
-        answer = self.one.heard({"name": "e1", "address": "e1:1", "versions": {}})
+        answer = self.one.handle_ping({"name": "e1", "address": "e1:1", "versions": {}})
         self.assertFalse(answer["hears_store"])
         self.assertLess(clock.now_ms(), lost_ms + 200.0)
 
@@ -207,9 +207,9 @@
         self.one._discover_leader()
         self.one.follower.hears_store = False
         self.assertIn("e1", self.appointed_watchers(["e1"]))
-        self.one.follower.news_since = lambda versions: {}
+        self.one.follower.updates_since = lambda versions: {}
         began_ms = clock.now_ms()
-        self.one.heard({"name": "e1", "address": "e1:1", "versions": {}})
+        self.one.handle_ping({"name": "e1", "address": "e1:1", "versions": {}})
         self.assertLess(clock.now_ms(), began_ms + 250.0)
 
     def test_leader_catches_up_with_pinging_daemon(self):
@@ -228,7 +228,7 @@
         self.let_record_go_stale(self.other)
         third.follower.events.clear()
         for daemon in self.daemons.values():
-            daemon.follower.news_since = lambda versions: {"any": {}}
+            daemon.follower.updates_since = lambda versions: {"any": {}}
         third._ping()
         third._ping()
         # It is the only other daemon, so the new leader makes it a watcher.
@@ -248,7 +248,9 @@
             daemon._discover_leader()
         self.one.follower.hears_store = False
         asked = []
-        self.one.follower.news_since = lambda versions: asked.append(1) or {"any": {}}
+        self.one.follower.updates_since = lambda versions: (
+            asked.append(1) or {"any": {}}
+        )
         self.other.store = types.SimpleNamespace(get=lambda *name: gevent.sleep(60.0))
         task = gevent.spawn(self.other.run)
         self.addCleanup(task.kill)
@@ -268,7 +270,7 @@
     def test_doubts_of_replaced_leader_are_inherited(self):
         """Only its own process knows which of its grants had no response."""
         key, until_ms = ("parts", 0, 1), self.clock.now_ms() + 9000.0
-        self.one.doubts = lambda: Inherited(0.0, 0.0, {key: until_ms})
+        self.one.in_doubt_grants = lambda: InheritedGrants(0.0, 0.0, {key: until_ms})
         self.one._discover_leader()
         self.let_record_go_stale(self.other)
         self.assertEqual(self.other.inherited.doubt_ends_ms(key), until_ms)
@@ -331,7 +333,7 @@
         self.assertTrue(self.one.leads)
         self.assertFalse(self.one.may_move)
         self.store.is_down = False
-        self.one._keep()
+        self.one._renew_record()
         task.join(2.0)
         self.assertFalse(self.one.leads)
         self.other._discover_leader()
@@ -341,8 +343,8 @@
         self.one._discover_leader()
         spec = {**self.store.stored.spec, "beat": 1}
         self.store.stored = Stored("", "", self.store.stored.version + 1, spec)
-        self.one._keep()
-        self.one._keep()
+        self.one._renew_record()
+        self.one._renew_record()
         self.assertTrue(self.one.may_move)
 
     def test_update_wait_is_shorter_while_requests_queue(self):
@@ -351,7 +353,7 @@
         Without queues the extra traffic is avoided.
         """
         server = BackendServer("s1", 1, "desk", "s1:80", "a", 3)
-        self.one.view.directory.take(server)
+        self.one.view.directory.upsert(server)
         usual_ms = self.one._update_wait_ms()
         for _ in range(4):
             self.one.loads.sent(Chosen(server, "r", 0.0))
@@ -364,7 +366,7 @@
         """Ninety daemons that ping again at once would fill the link of a small VM."""
         for daemon in (self.one, self.other):
             daemon._discover_leader()
-        self.one.follower.news_since = lambda versions: {"any": {}}
+        self.one.follower.updates_since = lambda versions: {"any": {}}
         self.assertEqual(self.other._follow(), MIN_PING_INTERVAL_MS)
         self.other.view.daemons |= {f"x{i}": "x:1" for i in range(90)}
         self.one.view.daemons |= self.other.view.daemons
@@ -375,7 +377,7 @@
             daemon._discover_leader()
         self.other.view.daemons |= {f"x{i}": "x:1" for i in range(90)}
         self.one.view.daemons |= self.other.view.daemons
-        self.one.follower.news_since = lambda versions: (
+        self.one.follower.updates_since = lambda versions: (
             self.clock.advance(500.0) or {"any": {}}
         )
         self.assertEqual(self.other._follow(), MIN_PING_INTERVAL_MS)
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -3,7 +3,7 @@
 import types
 import unittest
 
-from tarragonramp.leading import LeaderRecord, LeaseTiming, Standing
+from tarragonramp.leadership import LeaderRecord, LeadershipState, LeaseTiming
 
 TIMING = LeaseTiming()
 OWN = LeaderRecord("d1", "b1", "10.0.0.1:1", 3)
@@ -14,28 +14,28 @@
     """One daemon and the leader's record in the store."""
 
     def setUp(self):
-        self.standing = Standing("10.0.0.1:1", "b1", TIMING)
+        self.standing = LeadershipState("10.0.0.1:1", "b1", TIMING)
 
     def test_record_that_is_renewed_is_not_taken_over(self):
         now_ms = 0.0
         for version in range(1, 20):
-            self.standing.saw(OTHER, version, now_ms)
+            self.standing.observe(OTHER, version, now_ms)
             now_ms += TIMING.renew_ms
             self.assertFalse(self.standing.may_take_over(now_ms))
 
     def test_unchanged_record_is_taken_over_after_the_lease(self):
-        self.standing.saw(OTHER, 5, 0.0)
-        self.standing.saw(OTHER, 5, TIMING.lease_ms - 1)
+        self.standing.observe(OTHER, 5, 0.0)
+        self.standing.observe(OTHER, 5, TIMING.lease_ms - 1)
         self.assertFalse(self.standing.may_take_over(TIMING.lease_ms - 1))
         self.assertTrue(self.standing.may_take_over(TIMING.lease_ms))
 
     def test_earlier_process_at_the_same_address_has_ended(self):
-        self.standing.saw(LeaderRecord("d1", "b0", "10.0.0.1:1", 2), 5, 0.0)
+        self.standing.observe(LeaderRecord("d1", "b0", "10.0.0.1:1", 2), 5, 0.0)
         self.assertTrue(self.standing.may_take_over(1.0))
         self.assertFalse(self.standing.is_named)
 
     def test_record_without_a_name_can_be_taken_over(self):
-        self.standing.saw(LeaderRecord("", "", "", 4), 5, 0.0)
+        self.standing.observe(LeaderRecord("", "", "", 4), 5, 0.0)
         self.assertTrue(self.standing.may_take_over(1.0))
 
     def test_moves_stop_before_another_daemon_can_take_over(self):
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -126,7 +126,7 @@
     def test_new_address_is_no_proof_for_the_old_process(self):
         """A VM is replaced under its name; the old one is cut off but still running."""
         ledger = self.ledger_with_grant()
-        ledger.moved(100.0)
+        ledger.address_changed(100.0)
         answered(ledger, 3.0, 110.0, boot_id="b2")
         self.assertEqual(ledger.released(0, 110.0), "")
         self.assertEqual(ledger.released(0, GRANT_MS + 10.0), "acknowledged")
--- a/tests/test_passes.py
+++ b/tests/test_passes.py
@@ -2,32 +2,32 @@
 
 import unittest
 
-from tarragonramp.passes import Passes
+from tarragonramp.permits import DirectSendPermits
 
 
 class DirectSendPermitsTest(unittest.TestCase):
     """A permit is valid until there is a sign of a restart."""
 
-    def holds(self, passes, at_ms, address="a:1", connected=True):
-        return passes.holds("s", address, lambda: connected, at_ms)
+    def is_valid(self, passes, at_ms, address="a:1", connected=True):
+        return passes.is_valid("s", address, lambda: connected, at_ms)
 
     def test_only_a_stewards_report_allows_direct_sending(self):
-        passes = Passes()
-        self.assertFalse(self.holds(passes, 0.0))
-        passes.give("s", "a:1", 0.0)
-        self.assertTrue(self.holds(passes, 1e6))
-        passes.take("s")
-        self.assertFalse(self.holds(passes, 1e6))
+        passes = DirectSendPermits()
+        self.assertFalse(self.is_valid(passes, 0.0))
+        passes.allow("s", "a:1", 0.0)
+        self.assertTrue(self.is_valid(passes, 1e6))
+        passes.revoke("s")
+        self.assertFalse(self.is_valid(passes, 1e6))
 
     def test_lost_connection_ends_the_permit(self):
         """A server is replaced between two requests of an entry."""
-        passes = Passes()
-        passes.give("s", "a:1", 0.0)
-        self.assertTrue(self.holds(passes, 250.0, connected=False))
-        self.assertFalse(self.holds(passes, 251.0, connected=False))
-        self.assertFalse(self.holds(passes, 252.0))
+        passes = DirectSendPermits()
+        passes.allow("s", "a:1", 0.0)
+        self.assertTrue(self.is_valid(passes, 250.0, connected=False))
+        self.assertFalse(self.is_valid(passes, 251.0, connected=False))
+        self.assertFalse(self.is_valid(passes, 252.0))
 
     def test_permit_applies_to_one_address(self):
-        passes = Passes()
-        passes.give("s", "a:1", 0.0)
-        self.assertFalse(self.holds(passes, 1.0, address="a:2"))
+        passes = DirectSendPermits()
+        passes.allow("s", "a:1", 0.0)
+        self.assertFalse(self.is_valid(passes, 1.0, address="a:2"))
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -9,7 +9,7 @@
 from standins.site import free_address
 from tarragonramp import Clock
 from tarragonramp.adapters.pipelining import PipeliningServer
-from tarragonramp.adapters.web import caller_is_gone
+from tarragonramp.adapters.web import caller_disconnected
 
 
 def get(path):
@@ -33,7 +33,7 @@
         self.served.append(path)
         until_s = time.monotonic() + float(path.split("/")[1]) / 1000.0
         while time.monotonic() < until_s:
-            if caller_is_gone(environ):
+            if caller_disconnected(environ):
                 self.abandoned.append(path)
                 break
             gevent.sleep(0.01)
@@ -89,7 +89,7 @@
         connection = self.connect()
         connection.sendall(get("/200/a"))
         gevent.sleep(0.05)
-        self.server.leave()
+        self.server.begin_shutdown()
         connection.sendall(get("/1/b"))
         gevent.sleep(0.05)
         connection.sendall(get("/1/c"))
@@ -102,7 +102,7 @@
         connection = self.connect()
         connection.sendall(get("/200/a") + get("/250/b"))
         gevent.sleep(0.05)
-        self.server.leave()
+        self.server.begin_shutdown()
         data = self.read(connection)
         self.assertEqual(data.count(b"HTTP/1.1 200"), 2)
         self.assertEqual(data.count(b"Connection: close"), 1)
@@ -123,5 +123,5 @@
         connection.sendall(get("/300/a") + get("/300/b"))
         gevent.sleep(0.05)
         drained = self.server.drain(50.0, 2000.0)
-        self.assertEqual(drained.cut, 0)
+        self.assertEqual(drained.n_aborted, 0)
         self.assertEqual(self.read(connection).count(b"HTTP/1.1 200"), 2)
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -12,7 +12,7 @@
 
 from standins.fleet_site import manifest
 from standins.site import free_address
-from tarragonramp.adapters.http import Answer, HttpPools
+from tarragonramp.adapters.http import HttpPools, Response
 from tarragonramp.adapters.serving import DaemonServer
 from tarragonramp.clock import Clock
 from tarragonramp.errors import NoConnectionError
@@ -56,7 +56,7 @@
 
     def exchange(self, *request):
         """Return the next page."""
-        return Success(Answer(200, (), json.dumps(self.pages.pop(0)).encode()))
+        return Success(Response(200, (), json.dumps(self.pages.pop(0)).encode()))
 
 
 class GrantTest(unittest.TestCase):
@@ -256,13 +256,15 @@
 
     def test_request_headers_are_parsed(self):
         facts = self.dialect.read_request([("shard-key", "7"), ("deadline-ms", "5")])
-        self.assertEqual((facts.key, facts.patience_ms, facts.request_id), (7, 5.0, ""))
+        self.assertEqual(
+            (facts.key, facts.caller_timeout_ms, facts.request_id), (7, 5.0, "")
+        )
         with self.assertRaises(ValueError):
             self.dialect.read_request([("shard-key", "seven")])
 
     def test_response_headers_are_parsed(self):
         def facts(status, *headers):
-            return self.dialect.read_answer(Answer(status, headers, b""))
+            return self.dialect.read_response(Response(status, headers, b""))
 
         self.assertTrue(facts(503, ("Not-Executed", "1")).not_run)
         self.assertFalse(facts(503).not_run)
--- a/tests/test_ranges.py
+++ b/tests/test_ranges.py
@@ -124,7 +124,7 @@
         table = first_deal("parts", [Candidate("s0", 1), Candidate("s1", 1)])
         self.history = TableHistory()
         for version in range(10, 10 + 2 * MAX_TABLE_VERSIONS, 2):
-            self.history.note(table, version)
+            self.history.record(table, version)
             moved = table.ranges[version % 7].settled().moved_to("s1", 1)
             table = table.with_ranges([moved])
         self.last = 8 + 2 * MAX_TABLE_VERSIONS
@@ -144,6 +144,6 @@
 
     def test_number_of_kept_versions_is_bounded(self):
         table = first_deal("parts", [Candidate("s0", 1), Candidate("s1", 1)])
-        self.history.note(table, self.last + 2)
+        self.history.record(table, self.last + 2)
         self.assertIsNone(self.history.changes("parts", 10))
         self.assertIsNotNone(self.history.changes("parts", 12))
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -22,7 +22,13 @@
 )
 from tarragonramp.fleet_view import FleetView
 from tarragonramp.ranges import KeyRange
-from tarragonramp.roles.relay import EXCLUSION_MS, FRESH_MS, VALID_MS, Relay, Relays
+from tarragonramp.roles.relay import (
+    EXCLUSION_MS,
+    MAX_MESSAGE_AGE_MS,
+    SEND_WINDOW_MS,
+    Relay,
+    RelayPool,
+)
 
 MESSAGE = {
     "server": "s1",
@@ -43,7 +49,7 @@
         self.answers, self.took_ms, self.bounds = {}, 0.0, []
         self.relay = Relay(self, self.clock)
 
-    def has_lost(self, address):
+    def has_closed_connection(self, address):
         """Return whether the kept connection was closed."""
         return self.lost
 
@@ -66,17 +72,17 @@
 
     def test_relay_stops_after_pause(self):
         """The relay is paused between two grants; ranges may have moved meanwhile."""
-        self.took_ms = VALID_MS + 1.0
+        self.took_ms = SEND_WINDOW_MS + 1.0
         self.assertEqual(self.statuses(), ["done"])
         self.assertEqual(len(self.sent), 1)
 
     def test_outdated_message_is_rejected(self):
         """A relay may resume while cut off from the leader, with an unread message."""
-        for clock_ms in (1000.0 - FRESH_MS, 1000.5, None):
+        for clock_ms in (1000.0 - MAX_MESSAGE_AGE_MS, 1000.5, None):
             answer = self.relay.send({**MESSAGE, "clock_ms": clock_ms})
             self.assertEqual(answer, {"clock_ms": 1000.0})
         self.assertEqual(self.sent, [])
-        nearly_outdated = {**MESSAGE, "clock_ms": 1100.0 - FRESH_MS}
+        nearly_outdated = {**MESSAGE, "clock_ms": 1100.0 - MAX_MESSAGE_AGE_MS}
         self.took_ms = 101.0
         self.assertEqual(self.relay.send(nearly_outdated)["results"], ["done"])
 
@@ -132,7 +138,7 @@
         self.clock = ManualClock(1000.0)
         view = FleetView(self.clock)
         for name, domain in (("s1", "b"), ("s2", "a")):
-            view.directory.take(BackendServer(name, 1, "x", "s:80", domain, 3))
+            view.directory.upsert(BackendServer(name, 1, "x", "s:80", domain, 3))
         daemons = {"b": ["d2:1", "d3:1"]}
         self.leadership = types.SimpleNamespace(
             daemons_in=lambda d: daemons.get(d, []),
@@ -140,7 +146,7 @@
         )
         self.answer, self.messages = Success({"results": ["done", "done"]}), []
         peers = types.SimpleNamespace(relay=self.relay_message)
-        self.relays = Relays(view, self.leadership, peers, self.clock)
+        self.relays = RelayPool(view, self.leadership, peers, self.clock)
 
     def relay_message(self, relay, message, timeout_ms):
         """Respond as a relay whose clock shows 9000 ms."""
