--- a/tests/test_removals.py
+++ b/tests/test_removals.py
@@ -11,7 +11,7 @@
 from tarragonramp.directory import BackendServer
 from tarragonramp.fleet_view import SERVER, FleetView
 from tarragonramp.model import Stored
-from tarragonramp.removals import MAX_ENTRIES, Removals
+from tarragonramp.removals import MAX_ENTRIES, RemovalLog
 from tarragonramp.roles.follower import Follower
 from tarragonramp.roster import Roster
 
@@ -20,24 +20,24 @@
     """The removal log of one kind of objects."""
 
     def test_only_later_removals_are_returned(self):
-        removals = Removals()
-        removals.note(5, ["a"])
-        removals.note(7, ["b", "c"])
+        removals = RemovalLog()
+        removals.record(5, ["a"])
+        removals.record(7, ["b", "c"])
         self.assertEqual(removals.since(4), ["a", "b", "c"])
         self.assertEqual(removals.since(5), ["b", "c"])
         self.assertEqual(removals.since(7), [])
 
     def test_removals_since_a_version_within_a_gap_are_unknown(self):
-        removals = Removals()
-        removals.jump(10, 20)
+        removals = RemovalLog()
+        removals.record_gap(10, 20)
         self.assertEqual(removals.since(10), [])
         self.assertIsNone(removals.since(15))
         self.assertEqual(removals.since(20), [])
 
     def test_number_of_entries_is_bounded(self):
-        removals = Removals()
+        removals = RemovalLog()
         for version in range(1, 3 * MAX_ENTRIES):
-            removals.note(version, [f"s{version}"])
+            removals.record(version, [f"s{version}"])
         self.assertIsNone(removals.since(1))
         latest = 3 * MAX_ENTRIES - 1
         self.assertEqual(removals.since(latest - 1), [f"s{latest}"])
@@ -92,7 +92,7 @@
         """Pass a follower the events that it has not read yet."""
         since = follower.versions[SERVER]
         news = [event for event in self.events if event.version > since]
-        follower._change(SERVER, self.version, news)
+        follower._apply_changes(SERVER, self.version, news)
 
     def read(self, follower):
         """Let a follower read a snapshot."""
@@ -141,8 +141,8 @@
             history.watch(other)
             history.step()
             history.read(one)
-        news = json.loads(json.dumps(one.news_since(asked)))
-        other.take_news(news)
+        news = json.loads(json.dumps(one.updates_since(asked)))
+        other.apply_updates(news)
 
     def new_follower(self):
         """Return a follower that has read nothing."""
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -6,11 +6,11 @@
 from returns.result import Failure, Success
 
 from tarragonramp import Clock
-from tarragonramp.adapters.http import Answer
+from tarragonramp.adapters.http import Response
 from tarragonramp.adapters.web import HEADERS_KEY, TARGET_KEY
 from tarragonramp.balancing import Loads
 from tarragonramp.cold import ColdShares
-from tarragonramp.dialect import AnswerFacts, RequestFacts
+from tarragonramp.dialect import RequestFacts, ResponseFacts
 from tarragonramp.directory import BackendServer
 from tarragonramp.errors import NotSentError, UnansweredError
 from tarragonramp.fleet import FleetBounds
@@ -19,19 +19,19 @@
     N_KEYS,
     FleetService,
     Manifest,
-    Part,
     Route,
     RouteTable,
+    WeightedService,
 )
 from tarragonramp.meters import RequestMeter
 from tarragonramp.ranges import KeyRange, RangeTable
 from tarragonramp.roles.router import Router
 
-OK = Success(Answer(200, (("Mark", "1"),), b"whole"))
-SHED = Success(Answer(503, (("Shed", "1"),), b""))
-MISDIRECTED = Success(Answer(421, (("Shed", "1"),), b""))
-SERVER_ERROR = Success(Answer(500, (("Mark", "1"),), b"oops"))
-UNMARKED = Success(Answer(200, (), b"whose?"))
+OK = Success(Response(200, (("Mark", "1"),), b"whole"))
+SHED = Success(Response(503, (("Shed", "1"),), b""))
+MISDIRECTED = Success(Response(421, (("Shed", "1"),), b""))
+SERVER_ERROR = Success(Response(500, (("Mark", "1"),), b"oops"))
+UNMARKED = Success(Response(200, (), b"whose?"))
 UNANSWERED = Failure(UnansweredError("connection closed"))
 UNREACHABLE = Failure(NotSentError("timed out"))
 
@@ -51,9 +51,9 @@
         """Return a header that names the server."""
         return [("server", server)]
 
-    def read_answer(self, answer):
+    def read_response(self, answer):
         """Return the facts of a server's response."""
-        return AnswerFacts(
+        return ResponseFacts(
             not_run=bool(answer.header("Shed")),
             misdirected=answer.status == 421,
             genuine=bool(answer.header("Mark")),
@@ -71,15 +71,39 @@
         clock = Clock()
         self.view = FleetView(clock)
         routes = (
-            Route("h", "/safe/", (Part("desk"),), True, 1000.0, 500.0, attempts=2),
-            Route("h", "/once/", (Part("desk"),), False, 1000.0, 500.0, attempts=2),
-            Route("h", "/keyed/", (Part("parts"),), True, 1000.0, 500.0, attempts=2),
+            Route(
+                "h",
+                "/safe/",
+                (WeightedService("desk"),),
+                True,
+                1000.0,
+                500.0,
+                attempts=2,
+            ),
+            Route(
+                "h",
+                "/once/",
+                (WeightedService("desk"),),
+                False,
+                1000.0,
+                500.0,
+                attempts=2,
+            ),
+            Route(
+                "h",
+                "/keyed/",
+                (WeightedService("parts"),),
+                True,
+                1000.0,
+                500.0,
+                attempts=2,
+            ),
         )
         services = {
             "desk": FleetService("desk", cold_per_s=2.0),
             "parts": FleetService("parts", divided=True),
         }
-        self.view.take_routes(RouteTable(Manifest(1, routes, services)))
+        self.view.update_routes(RouteTable(Manifest(1, routes, services)))
         for name, service in (
             ("s1", "desk"),
             ("s2", "desk"),
@@ -88,7 +112,7 @@
             ("p2", "parts"),
         ):
             server = BackendServer(name, 1, service, f"{name}:80", "a", 3)
-            self.view.directory.take(server)
+            self.view.directory.upsert(server)
         self.scripted, self.sent = {}, []
         pools = types.SimpleNamespace(at=self.pool_at)
         self.router = Router(
@@ -106,7 +130,7 @@
     def assign_all(self, owner, token=1, old_owner=""):
         """Assign all keys to a server of the divided service."""
         item = KeyRange(0, N_KEYS - 1, owner, 1, token, old_owner, 1, token - 2)
-        self.view.take_table(RangeTable("parts", (item,)), token)
+        self.view.update_table(RangeTable("parts", (item,)), token)
 
     def pool_at(self, address):
         """Return a stand-in for the connections to a server."""
@@ -208,7 +232,7 @@
         self.assertGreater(float(headers["Retry-After"]), 0.0)
 
     def test_keys_without_owner_are_refused(self):
-        self.view.directory.lose("p1")
+        self.view.directory.remove_server("p1")
         status, headers = self.send_request("/keyed/", 7)
         self.assertEqual((status, self.sent), (503, []))
         self.assertGreater(float(headers["Retry-After"]), 0.0)
@@ -249,8 +273,8 @@
         self.assertEqual(self.send_request("/keyed/", 7)[0], 200)
 
     def test_cold_servers_are_avoided_while_others_are_warm(self):
-        self.view.directory.note_cold("s1", 60_000.0)
-        self.view.directory.note_cold("s2", 60_000.0)
+        self.view.directory.mark_cold("s1", 60_000.0)
+        self.view.directory.mark_cold("s2", 60_000.0)
         for _ in range(20):
             self.assertEqual(self.send_request("/once/")[0], 200)
         self.assertEqual(set(self.sent), {"s3"})
@@ -258,7 +282,7 @@
     def test_cold_servers_get_limited_load(self):
         self.view.daemons = {f"d{i}": "" for i in range(8)}
         for name in ("s1", "s2", "s3"):
-            self.view.directory.note_cold(name, 60_000.0)
+            self.view.directory.mark_cold(name, 60_000.0)
         statuses = [self.send_request("/once/")[0] for _ in range(60)]
         self.assertEqual(set(statuses) - {200, 503}, set())
         self.assertLessEqual(statuses.count(200), 6)
--- a/tests/test_term_keeper.py
+++ b/tests/test_term_keeper.py
@@ -25,7 +25,7 @@
         proof of their end.
         """
         clock, view = ManualClock(), View()
-        membership = types.SimpleNamespace(silent=lambda holder: True)
+        membership = types.SimpleNamespace(is_silent=lambda holder: True)
         keeper = TermKeeper(view, None, membership, clock, Timing())
         term = attrs.asdict(Term(1, "d4#1", "d1#1"))
         view.apply(Stored("Term", ROLE, 5, term))
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -24,13 +24,13 @@
         would outlast the time that the successor waits, and both would act.
         """
         term = held()
-        term.renewed_by_successor("b#1", sent_ms=100.0)
+        term.confirmed_by_successor("b#1", sent_ms=100.0)
         self.assertTrue(term.may_act(899.0))
         self.assertFalse(term.may_act(900.0))
 
     def test_confirmation_of_another_daemon_extends_nothing(self):
         term = held()
-        term.renewed_by_successor("c#1", sent_ms=700.0)
+        term.confirmed_by_successor("c#1", sent_ms=700.0)
         self.assertFalse(term.may_act(800.0))
 
     def test_both_confirmations_are_needed_during_a_change_of_successor(self):
@@ -42,9 +42,9 @@
         """
         term = held()
         term.begin_update("a#1", "c#1", "request-1", now_ms=0.0)
-        term.renewed_by_successor("b#1", sent_ms=700.0)
+        term.confirmed_by_successor("b#1", sent_ms=700.0)
         self.assertFalse(term.may_act(800.0))
-        term.renewed_by_successor("c#1", sent_ms=600.0)
+        term.confirmed_by_successor("c#1", sent_ms=600.0)
         self.assertTrue(term.may_act(1399.0))
         self.assertFalse(term.may_act(1400.0))
 
@@ -73,7 +73,7 @@
         and each would need a write to be renewed.
         """
         term = held(successor="")
-        term.renewed_by_successor("b#1", sent_ms=0.0)
+        term.confirmed_by_successor("b#1", sent_ms=0.0)
         self.assertTrue(term.may_act(1e12))
 
 
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -24,7 +24,7 @@
         view = View()
         view.apply(Stored("FailureDomain", "a", 7, {"state": "out"}))
         self.assertFalse(view.apply(Stored("FailureDomain", "a", 5, {"state": "in"})))
-        self.assertFalse(view.domain_in("a"))
+        self.assertFalse(view.is_domain_in_service("a"))
 
     def test_fields_of_a_newer_release_are_ignored(self):
         """Guards against daemons that stop at fields of a newer release.
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -48,7 +48,7 @@
     closes: bool = False
     requests: list = attrs.Factory(list)
     n_connections: int = 0
-    hung_up: Event = attrs.Factory(Event)
+    client_closed: Event = attrs.Factory(Event)
     _server: StreamServer = attrs.field(init=False)
 
     def __attrs_post_init__(self):
@@ -73,7 +73,7 @@
             except OSError:
                 data = b""
             if not data:
-                self.hung_up.set()
+                self.client_closed.set()
                 return
             self.requests.append(data.decode("latin-1"))
             step = min(len(self.requests), len(self.script)) - 1
