--- a/src/tarragonramp/settings.py
+++ b/src/tarragonramp/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon: YAML, checked as a whole before anything starts."""
+"""Daemon settings, read from YAML and validated in full before the daemon starts."""
 
 import os
 
@@ -24,9 +24,9 @@
 ]
 
 ENVIRONMENT_PREFIX = "TARRAGONRAMP_"
-COMMAND_PREFIX = "TARRAGONRAMP_COMMAND_"
+COMMAND_ENVIRONMENT_PREFIX = "TARRAGONRAMP_COMMAND_"
 LOG_LEVELS = ("debug", "info", "warning", "error")
-MIN_SECRET_CHARACTERS = 16
+MIN_SECRET_LENGTH = 16
 MAX_SECRETS = 2
 
 _milliseconds = checks.between
@@ -34,21 +34,43 @@
 
 @attrs.frozen
 class Timing:
-    """Time constants, all in milliseconds, but for ``watchers``.
+    """Intervals and timeouts in milliseconds, and the number of ``watchers``.
 
     Parameters
     ----------
+    ping_ms : int
+        Interval between pings to the neighbours in the ring.
+    silence_ms : int
+        Silence of a term's holder after which its named successor takes the term over.
+    right_ms : int
+        How long the holder of a term may act after its successor last confirmed it.
+        Has to be the same on all daemons.
+    control_timeout_ms : int
+        Timeout of pings, grants and calls between daemons.
+    platform_timeout_ms : int
+        Timeout of calls to the platform other than watches.
+    watch_ms : int
+        How long one watch call waits for changes.
+    vm_list_ms : int
+        Interval at which a watching daemon reads the VM list.
+    planning_ms : int
+        Interval between the steps of moves in progress.
+    route_wait_ms : int
+        How long a request waits for a key that is being moved.
     watchers : int
-        Daemons of a failure domain that watch the platform; the others learn from
-        them.
+        Number of daemons in a failure domain that watch the platform; the others get
+        their updates from these.
     unready_ms : int
-        On a stop, how long to say "not ready" and still take new connections.
+        On shutdown, how long to report "not ready" while still accepting connections.
     drain_idle_ms : int
-        On a stop, how long a connection is without a request before it is closed.
+        On shutdown, how long a connection has to be idle before it is closed.
     drain_ms : int
-        On a stop, how long to wait for requests under way.
+        On shutdown, how long to wait for requests in flight.
     handover_ms : int
-        On a stop, how long to try to hand over terms if the platform does not answer.
+        On shutdown, how long to retry handing over terms while the platform does not
+        answer.
+    status_ms : int
+        Minimum interval between two reports of the version in force.
     """
 
     ping_ms: int = attrs.field(default=150, validator=_milliseconds(20, 60_000))
@@ -74,20 +96,21 @@
 
 @attrs.frozen
 class Limits:
-    """Bounds on what one caller's request may bring.
+    """Size limits for requests and responses, and the idle timeout of connections.
 
     Parameters
     ----------
     request_line_bytes, header_line_bytes, header_block_bytes : int
-        Longest request line, longest header line and all header lines together.
+        Maximum size of the request line, of one header line and of all header lines
+        together.
     header_count : int
-        Most header lines.
+        Maximum number of header lines.
     body_bytes : int
-        Longest request body, with or without a declared length.
+        Maximum size of a request body, with or without a declared length.
     answer_bytes : int
-        Longest answer body taken from a backend server.
+        Maximum size of a response body from a backend server.
     idle_ms : int
-        How long a caller's connection may stay silent before it is closed.
+        How long a caller's connection may be idle before it is closed.
     """
 
     request_line_bytes: int = attrs.field(
@@ -111,17 +134,18 @@
 
 @attrs.frozen
 class Security:
-    """Who may use the control and peer ports.
+    """Authentication on the control and peer ports.
 
     Parameters
     ----------
     operator_secret, operator_secret_file : str
-        What the operators' command has to show: itself, or a file with it.
+        Secret that the operators' command has to present, or a file that contains it.
     peer_secret, peer_secret_file : str
-        What daemons show each other. A file may hold two lines while a secret is
-        replaced: the first is shown, both are accepted.
+        Secret that daemons present to each other, or a file that contains it. While a
+        secret is being rotated, the file may hold two lines: the first is presented,
+        both are accepted.
     insecure : bool
-        Serve without secrets; taken only if both ports are on loopback.
+        Serve without secrets; accepted only if both ports are on loopback.
     """
 
     operator_secret: str = attrs.field(default="", repr=False)
@@ -133,14 +157,20 @@
 
 @attrs.frozen
 class Audit:
-    """How long the audit trail is kept."""
+    """Retention of the audit trail.
+
+    Parameters
+    ----------
+    keep_entries : int
+        Number of entries to keep; older ones are pruned.
+    """
 
     keep_entries: int = attrs.field(default=5000, validator=checks.between(100, 15_000))
 
 
 @attrs.frozen
 class DaemonSettings:
-    """Everything a daemon has to be told.
+    """Settings of one daemon.
 
     Parameters
     ----------
@@ -148,11 +178,12 @@
         Unique in the fleet.
     failure_domain : str
     caller_address, control_address, peer_address : str
-        ``ip:port`` for callers, for HTTP control and for gRPC.
+        ``ip:port`` to listen on for callers, for the HTTP control API and for gRPC.
     platform_address : str
         ``ip:port`` of the platform's object API.
     advertised_control_address, advertised_peer_address : str, default=""
-        Where other daemons reach this one, if not at the addresses it binds.
+        Addresses at which other daemons reach this one, if they differ from the
+        addresses it binds.
     log_level : {"debug", "info", "warning", "error"}
     timing : Timing
     limits : Limits
@@ -180,29 +211,29 @@
 
 
 def load_settings(path, environment=os.environ) -> Result:
-    """Read and check a settings file, and read the secrets it names.
+    """Read and validate a settings file and the secret files that it names.
 
     Parameters
     ----------
     path : str
     environment : mapping, default=os.environ
         ``TARRAGONRAMP_NAME`` overrides ``name``, ``TARRAGONRAMP_TIMING__PING_MS``
-        overrides ``timing.ping_ms``, and so on. ``TARRAGONRAMP_COMMAND_...`` is the
-        operators' command's and left alone.
+        overrides ``timing.ping_ms``, and so on. ``TARRAGONRAMP_COMMAND_...`` belongs to
+        the operators' command and is ignored.
 
     Returns
     -------
     settings : Success of DaemonSettings, or Failure of SettingsError
-        The error lists every fault with file, line and field path.
+        The error lists every fault with its file, line and field path.
     """
     documents = read_file(path)
     if not is_successful(documents):
         return Failure(SettingsError(documents.failure().faults))
-    return check_settings(documents.unwrap(), environment).bind(_with_secrets)
+    return check_settings(documents.unwrap(), environment).bind(_load_secrets)
 
 
 def check_settings(documents, environment) -> Result:
-    """Check the documents of a settings file, without reading any secret.
+    """Validate the documents of a settings file without reading the secret files.
 
     Parameters
     ----------
@@ -217,71 +248,79 @@
     if len(documents) > 1 or not isinstance(document.data, dict):
         message = "expected one document, a mapping of settings"
         return Failure(SettingsError([f"{document.source}: {message}"]))
-    data, from_environment, faults = _overridden(document.data, environment)
+    data, from_environment, faults = _apply_environment(document.data, environment)
     result = structure(data, DaemonSettings)
     found = result.failure() if not is_successful(result) else []
-    found = found or _cross_faults(result.unwrap())
+    found = found or _consistency_faults(result.unwrap())
     for fault in found:
         variable = from_environment.get(fault.path)
         faults.append(f"{variable}: {fault}" if variable else document.locate(fault))
     return Failure(SettingsError(faults)) if faults else result
 
 
-def _overridden(data, environment):
-    """Return settings, which variable set which field path, and faults."""
+def _apply_environment(data, environment):
+    """Apply environment variables to settings data.
+
+    Returns
+    -------
+    data : dict
+    from_environment : dict of str to str
+        Variable by the field path that it has set.
+    faults : list of str
+    """
     data = dict(data)
     from_environment, faults = {}, []
     for variable, text in sorted(environment.items()):
         if not variable.startswith(ENVIRONMENT_PREFIX):
             continue
-        if variable.startswith(COMMAND_PREFIX):
+        if variable.startswith(COMMAND_ENVIRONMENT_PREFIX):
             continue
-        steps = variable[len(ENVIRONMENT_PREFIX) :].lower().split("__")
-        field_type = _type_at(steps)
+        path_parts = variable[len(ENVIRONMENT_PREFIX) :].lower().split("__")
+        field_type = _setting_type(path_parts)
         if field_type is None:
             faults.append(f"{variable}: no such setting")
             continue
-        path = ".".join(steps)
+        path = ".".join(path_parts)
         try:
             value = text if field_type is str else yaml.safe_load(text)
         except yaml.YAMLError:
-            faults.append(f"{variable}: {path}: {text!r} cannot be read")
+            faults.append(f"{variable}: {path}: {text!r} cannot be parsed as YAML")
             continue
-        if _put(data, steps, value):
+        if _set_field(data, path_parts, value):
             from_environment[path] = variable
     return data, from_environment, faults
 
 
-def _type_at(steps):
-    """Return the type of a scalar setting, or None if there is none."""
-    wanted = DaemonSettings
-    for step in steps:
-        if not attrs.has(wanted):
+def _setting_type(path_parts):
+    """Return the type of a scalar setting, or None if there is no such setting."""
+    current_type = DaemonSettings
+    for step in path_parts:
+        if not attrs.has(current_type):
             return None
-        wanted = getattr(attrs.fields_dict(wanted).get(step), "type", None)
-        if wanted is None:
+        current_type = getattr(attrs.fields_dict(current_type).get(step), "type", None)
+        if current_type is None:
             return None
-    return None if attrs.has(wanted) else wanted
+    return None if attrs.has(current_type) else current_type
 
 
-def _put(data, steps, value):
-    """Set a field; False if the file has something else in place of its parent."""
-    *parents, last = steps
+def _set_field(data, path_parts, value):
+    """Set a field; return False if a parent of it is not a mapping in the file."""
+    *parents, last = path_parts
     for parent in parents:
-        below = data.get(parent, {})
-        if not isinstance(below, dict):
+        section = data.get(parent, {})
+        if not isinstance(section, dict):
             return False
-        data[parent] = dict(below)
+        data[parent] = dict(section)
         data = data[parent]
     data[last] = value
     return True
 
 
-def _cross_faults(settings):
+def _consistency_faults(settings):
     return (
         _address_faults(settings)
         + _timing_faults(settings.timing)
-        + _security(settings)
+        + _security_faults(settings)
     )
 
 
@@ -306,59 +345,60 @@
     return faults
 
 
-def _security(settings):
-    """Find ports that anybody could use.
+def _security_faults(settings):
+    """Return a fault for each port that would accept unauthenticated calls.
 
-    An open control port lets whoever reaches it take a failure domain out; an open
-    peer port lets him answer for a daemon, and a term could be held twice.
+    Anyone who reaches an unprotected control port could take a failure domain out of
+    service. On an unprotected peer port he could impersonate a daemon, and two daemons
+    could hold the same term.
     """
     security, faults = settings.security, []
     ports = [settings.control_address, settings.peer_address]
     loopback = all(address.startswith("127.") for address in ports)
-    for side in ("operator", "peer"):
-        value = getattr(security, f"{side}_secret")
-        file = getattr(security, f"{side}_secret_file")
-        path = f"security.{side}_secret_file"
+    for port_role in ("operator", "peer"):
+        value = getattr(security, f"{port_role}_secret")
+        file = getattr(security, f"{port_role}_secret_file")
+        path = f"security.{port_role}_secret_file"
         if value and file:
-            faults.append(Fault(path, f"not together with {side}_secret"))
-        if value and len(value) < MIN_SECRET_CHARACTERS:
-            message = f"shorter than {MIN_SECRET_CHARACTERS} characters"
-            faults.append(Fault(f"security.{side}_secret", message))
+            faults.append(Fault(path, f"cannot be combined with {port_role}_secret"))
+        if value and len(value) < MIN_SECRET_LENGTH:
+            message = f"shorter than {MIN_SECRET_LENGTH} characters"
+            faults.append(Fault(f"security.{port_role}_secret", message))
         if not value and not file and not loopback:
             faults.append(
                 Fault(path, "missing: needed on addresses other than loopback")
             )
         if not value and not file and loopback and not security.insecure:
-            message = "missing: give one, or say insecure: true (loopback only)"
+            message = "missing: give one, or set insecure: true (loopback only)"
             faults.append(Fault(path, message))
     return faults
 
 
-def _with_secrets(settings) -> Result:
+def _load_secrets(settings) -> Result:
     security, faults = settings.security, []
-    for side in ("operator", "peer"):
-        path = getattr(security, f"{side}_secret_file")
+    for port_role in ("operator", "peer"):
+        path = getattr(security, f"{port_role}_secret_file")
         if not path:
             continue
         try:
             with open(path, encoding="utf-8") as stream:
                 lines = [line.strip() for line in stream if line.strip()]
         except (OSError, UnicodeDecodeError) as error:
-            faults.append(f"security.{side}_secret_file: {path}: {error}")
+            faults.append(f"security.{port_role}_secret_file: {path}: {error}")
             continue
-        too_short = any(len(line) < MIN_SECRET_CHARACTERS for line in lines)
+        too_short = any(len(line) < MIN_SECRET_LENGTH for line in lines)
         if not 1 <= len(lines) <= MAX_SECRETS or too_short:
             faults.append(
-                f"security.{side}_secret_file: {path}: expected one or two lines of "
-                f"{MIN_SECRET_CHARACTERS} characters or more"
+                f"security.{port_role}_secret_file: {path}: expected one or two "
+                f"lines of {MIN_SECRET_LENGTH} characters or more"
             )
             continue
-        security = attrs.evolve(security, **{f"{side}_secret": "\n".join(lines)})
+        security = attrs.evolve(security, **{f"{port_role}_secret": "\n".join(lines)})
     if faults:
         return Failure(SettingsError(faults))
     return Success(attrs.evolve(settings, security=security))
 
 
 def is_settings(document: Document):
-    """Tell whether a document looks like settings rather than a declaration."""
+    """Return whether a document contains settings rather than a declaration."""
     return isinstance(document.data, dict) and "kind" not in document.data
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings files: every fault at once, with its place, and nothing taken on trust."""
+"""Tests of settings files: validation, error locations and overrides."""
 
 import os
 import tempfile
@@ -21,7 +21,7 @@
 
 
 class SettingsTest(unittest.TestCase):
-    """Files as operators write them."""
+    """Loading and validating settings files."""
 
     def setUp(self):
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
@@ -34,26 +34,26 @@
         return path
 
     def load(self, text, environment=()):
-        """Load settings from text."""
+        """Write text to a settings file and load it."""
         return load_settings(self.write("d.yaml", text), dict(environment))
 
     def faults(self, text, environment=()):
-        """Return faults without the folder's name."""
+        """Return the faults of a rejected file, without the name of the folder."""
         result = self.load(text, environment)
-        self.assertFalse(is_successful(result), "settings were taken")
+        self.assertFalse(is_successful(result), "settings were accepted")
         found = result.failure().faults
         return [str(fault).replace(f"{self.folder}/", "") for fault in found]
 
     def assert_fault(self, expected, faults):
-        """Check that one fault begins with a text."""
+        """Assert that a fault begins with the expected text."""
         self.assertTrue(any(f.startswith(expected) for f in faults), faults)
 
-    def test_a_good_file_is_taken_whole(self):
+    def test_valid_file_is_loaded(self):
         settings = self.load(GOOD + "timing: {ping_ms: 100}\n").unwrap()
         self.assertEqual(settings.timing.ping_ms, 100)
         self.assertEqual(settings.timing.silence_ms, 500)
 
-    def test_all_faults_come_at_once_with_file_and_line(self):
+    def test_all_faults_are_reported_together_with_file_and_line(self):
         text = GOOD.replace("127.0.0.1:7102", "localhost:7102") + (
             "timing:\n  ping_ms: '150'\n  right_ms: 3\n  pign_ms: 1\n"
             "limits: {body_bytes: true}\n"
@@ -66,7 +66,7 @@
         self.assert_fault("d.yaml:13: limits.body_bytes: True: expected", faults)
         self.assertEqual(len(faults), 5)
 
-    def test_what_is_no_mapping_of_settings_is_refused_plainly(self):
+    def test_files_without_a_single_settings_mapping_are_rejected(self):
         self.assertIn("empty", self.faults("# nothing\n")[0])
         self.assertIn("one document", self.faults("- a\n- b\n")[0])
         self.assertIn("one document", self.faults(GOOD + "---\n" + GOOD)[0])
@@ -74,19 +74,20 @@
         missing = load_settings(f"{self.folder}/none.yaml", {}).failure().faults
         self.assertIn("No such file", missing[0])
 
-    def test_missing_fields_are_named(self):
+    def test_missing_fields_are_reported(self):
         faults = self.faults("name: d1\n")
         self.assert_fault("d.yaml:1: failure_domain: missing", faults)
         self.assertEqual(len(faults), 5)
 
-    def test_a_key_given_twice_is_no_silent_override(self):
+    def test_duplicate_key_is_rejected(self):
         faults = self.faults(GOOD + "name: d2\n")
         self.assertEqual(faults, ["d.yaml:9: document: 'name' twice"])
 
-    def test_references_cannot_blow_up_memory(self):
-        """A file of a few lines whose references expand to gigabytes.
+    def test_alias_expansion_deep_nesting_and_large_files_are_rejected(self):
+        """Nested aliases in a file of a few lines expand to gigabytes.
 
-        Seen as a daemon that is killed for its memory while it reads settings.
+        A daemon that expands them runs out of memory and is killed while it reads its
+        settings.
         """
         bomb = "a: &a [x, x]\n" + "".join(
             f"b{i}: &b{i} [*{'a' if not i else f'b{i - 1}'}, *a]\n" for i in range(40)
@@ -95,21 +96,21 @@
         self.assertIn("nested deeper", self.faults("a: " + "[" * 500)[0])
         self.assertIn("longer than", self.faults("#" * 1_100_000)[0])
 
-    def test_keys_that_are_no_text_are_refused(self):
+    def test_non_string_keys_are_rejected(self):
         self.assertIn("put it in quotes", self.faults(GOOD + "on: 1\n")[0])
         self.assertIn("put it in quotes", self.faults(GOOD + "? [a]\n: 1\n")[0])
 
-    def test_values_that_are_no_plain_scalars_are_refused(self):
-        """A date or ``.nan`` in a team's parameters.
+    def test_values_without_json_equivalent_are_rejected(self):
+        """YAML reads dates, ``.nan`` and binary data as objects.
 
-        YAML makes an object of it that JSON, in which the platform keeps it, has not.
+        The platform stores declarations as JSON, which cannot represent them.
         """
         for value in ("2026-01-01", ".nan", ".inf", "!!binary aGk="):
             self.assertIn("put it in quotes", self.faults(f"name: {value}\n")[0])
         tagged = self.faults("name: !!python/object:os.x {}\n")
         self.assertIn("is not accepted", tagged[0])
 
-    def test_the_environment_overrides_and_is_checked_equally(self):
+    def test_environment_variables_override_and_are_validated(self):
         environment = {
             "TARRAGONRAMP_NAME": "d9",
             "TARRAGONRAMP_TIMING__PING_MS": "120",
@@ -135,29 +136,29 @@
         self.assert_fault("TARRAGONRAMP_LIMITS__BODY_BYTES: limits.body_byt", faults)
         self.assertEqual(len(faults), 5)
 
-    def test_an_override_below_a_wrong_parent_does_not_crash(self):
+    def test_override_of_field_under_non_mapping_parent_is_rejected(self):
         faults = self.faults(
             GOOD + "timing: 3\n", {"TARRAGONRAMP_TIMING__PING_MS": "9"}
         )
         self.assertEqual(faults, ["d.yaml:9: timing: 3: expected a mapping"])
 
-    def test_a_number_in_the_environment_can_be_a_name(self):
+    def test_numeric_text_in_environment_stays_text(self):
         self.assertEqual(self.load(GOOD, {"TARRAGONRAMP_NAME": "7"}).unwrap().name, "7")
 
-    def test_settings_that_do_not_go_together_are_refused(self):
+    def test_inconsistent_settings_are_rejected(self):
         text = GOOD.replace("7102", "7101")
         faults = self.faults(text + "timing: {ping_ms: 400, right_ms: 500}\n")
         self.assert_fault("d.yaml:5: peer_address: '127.0.0.1:7101': also", faults)
         self.assert_fault("d.yaml:9: timing.silence_ms: 500: less than", faults)
         self.assert_fault("d.yaml:9: timing.right_ms: 500: less than", faults)
 
-    def test_ports_without_a_secret_need_loopback_and_a_word(self):
+    def test_ports_without_secrets_need_loopback_and_insecure(self):
         open_ports = GOOD.replace("127.0.0.1:7101", "10.0.0.1:7101")
         faults = self.faults(open_ports)
         self.assert_fault("d.yaml:7: security.operator_secret_file: missing", faults)
         self.assert_fault("d.yaml:7: security.peer_secret_file: missing", faults)
-        silent = GOOD.replace("insecure: true", "insecure: false")
-        self.assertEqual(len(self.faults(silent)), 2)
+        without_insecure = GOOD.replace("insecure: true", "insecure: false")
+        self.assertEqual(len(self.faults(without_insecure)), 2)
 
     def test_secrets_are_read_from_files(self):
         path = self.write("secret", "new-secret-0123456789\nold-secret-0123456789\n")
