--- a/src/tarragonramp/client.py
+++ b/src/tarragonramp/client.py
@@ -1,4 +1,4 @@
-"""Calls of the operators' command to a daemon."""
+"""Client of the operator API that daemons serve on their control ports."""
 
 import getpass
 import json
@@ -41,10 +41,10 @@
 DAEMON_VARIABLE = "TARRAGONRAMP_COMMAND_DAEMON"
 SECRET_FILE_VARIABLE = "TARRAGONRAMP_COMMAND_SECRET_FILE"
 TIMEOUT_MS = 10_000.0
-ROUNDS = 3
-ROUND_PAUSE_S = 0.5
+MAX_ATTEMPTS = 3
+RETRY_DELAY_S = 0.5
 
-_EXIT_CODES = {
+_EXIT_CODES_BY_STATUS = {
     400: EXIT_INVALID,
     401: EXIT_REFUSED,
     409: EXIT_CONFLICT,
@@ -53,24 +53,24 @@
     504: EXIT_UNKNOWN,
 }
 _HINTS = {
-    EXIT_CONFLICT: "somebody else changed it: look with 'tarragonramp get' or "
-    "'tarragonramp diff', then decide again",
-    EXIT_UNREACHABLE: "nothing was changed: try again, or another daemon (--daemon)",
-    EXIT_UNKNOWN: "it may or may not have taken effect: look with 'tarragonramp get' "
-    "and 'tarragonramp audit'; repeating the same command is safe",
-    EXIT_REFUSED: f"give the secret by --secret-file or {SECRET_FILE_VARIABLE}",
+    EXIT_CONFLICT: "the object was changed in between: compare it with 'tarragonramp "
+    "get' or 'tarragonramp diff', then decide again",
+    EXIT_UNREACHABLE: "nothing was changed: retry, or use another daemon (--daemon)",
+    EXIT_UNKNOWN: "the change may or may not have taken effect: check it with "
+    "'tarragonramp get' and 'tarragonramp audit'; repeating the same command is safe",
+    EXIT_REFUSED: f"pass the secret with --secret-file or {SECRET_FILE_VARIABLE}",
 }
 
 
 class CommandError(TarragonError):
-    """Ends the command.
+    """Terminates the command with an exit code and a message.
 
     Parameters
     ----------
     exit_code : int
     message : str
     payload : dict, optional
-        What the daemon answered.
+        Payload of the daemon's response.
     """
 
     def __init__(self, exit_code, message, payload=None):
@@ -80,21 +80,21 @@
 
     @property
     def hint(self):
-        """What to do next; empty if the message says it."""
+        """What the operator can do next; empty if the message says it."""
         return _HINTS.get(self.exit_code, "")
 
 
 @attrs.define(eq=False, repr=False)
 class OperatorClient:
-    """Talks to the first of some daemons that answers.
+    """Sends requests to the first of the given daemons that can be reached.
 
     Parameters
     ----------
     addresses : tuple of str
-        Control ``ip:port``; any daemon will do.
+        Control ``ip:port`` of one or more daemons; all serve the same API.
     secrets : Secrets
     actor : str
-        Who the audit trail names.
+        User name that the audit trail records.
     """
 
     addresses: tuple[str, ...]
@@ -103,19 +103,20 @@
 
     @classmethod
     def from_config(cls, daemon, secret_file, environment=os.environ):
-        """Make one of the command's options, or of the environment.
+        """Create a client from the command's options and the environment.
 
         Parameters
         ----------
         daemon : str
-            One or more addresses with commas between; empty for the environment's.
+            One or more addresses separated by commas; if empty, the environment's.
         secret_file : str
+            Path of a file with the secret; if empty, the environment's.
         environment : mapping
 
         Raises
         ------
         CommandError
-            If an address or the file cannot be used.
+            If an address is malformed or the file cannot be read.
         """
         text = daemon or environment.get(DAEMON_VARIABLE, DEFAULT_DAEMON)
         addresses = tuple(item.strip() for item in text.split(","))
@@ -125,10 +126,10 @@
             except ValueError as error:
                 raise CommandError(EXIT_INVALID, f"--daemon: {error}") from error
         path = secret_file or environment.get(SECRET_FILE_VARIABLE, "")
-        return cls(addresses, _read_secrets(path), _actor())
+        return cls(addresses, _read_secrets(path), _current_user())
 
     def get(self, target):
-        """Read something.
+        """Send a GET request.
 
         Returns
         -------
@@ -137,49 +138,67 @@
         Raises
         ------
         CommandError
+            If no daemon was reached, or the status is not 200.
         """
-        return _checked(self._call("GET", target, None, ""))
+        return _payload_or_raise(self._send("GET", target, None, ""))
 
     def find(self, kind, name):
-        """Return an object as the platform holds it, or None."""
-        status, payload = self._call("GET", _target(kind, name), None, "")
-        return None if status == 404 else _checked((status, payload))
+        """Return an object as the platform stores it, or None if there is none."""
+        status, payload = self._send("GET", _object_target(kind, name), None, "")
+        return None if status == 404 else _payload_or_raise((status, payload))
 
     def post(self, target, payload):
-        """Send something that changes nothing; return the answer's payload."""
-        return _checked(self._call("POST", target, payload, ""))
+        """Send a POST request that changes nothing; return the response's payload."""
+        return _payload_or_raise(self._send("POST", target, payload, ""))
 
     def put(self, kind, name, spec, version, **query):
-        """Write an object that is at a version; return its new state."""
-        target = _target(kind, name, version=version, **query)
-        return self._change("PUT", target, spec)
+        """Write an object if it is at the given version; return its new state."""
+        target = _object_target(kind, name, version=version, **query)
+        return self._send_change("PUT", target, spec)
 
     def delete(self, kind, name, version):
-        """Delete an object that is at a version; return what is left of it."""
-        return self._change("DELETE", _target(kind, name, version=version), None)
+        """Delete an object if it is at the given version.
 
-    def _change(self, method, target, payload):
-        """Change something once, however many answers are lost.
+        Returns
+        -------
+        remaining : dict
+            The object while its deletion is in progress; empty once it is deleted.
+        """
+        return self._send_change(
+            "DELETE", _object_target(kind, name, version=version), None
+        )
 
-        The request id stays the same over all tries, and the update is conditional
-        on a version: a repetition of a change that has taken effect is recognised.
+    def _send_change(self, method, target, payload):
+        """Send a change and retry it while its outcome is unknown.
+
+        The change is applied at most once: all attempts carry the same request id, and
+        the write is conditional on a version, so a repetition of a change that has
+        already taken effect is recognised.
         """
         request_id = uuid.uuid4().hex
         in_doubt = False
-        for round_number in range(ROUNDS):
-            if round_number:
-                time.sleep(ROUND_PAUSE_S)
-            status, answer = self._call(method, target, payload, request_id)
-            gone = status in (404, 409) and answer.get("current") is None
-            if in_doubt and method == "DELETE" and gone:
+        for attempt in range(MAX_ATTEMPTS):
+            if attempt:
+                time.sleep(RETRY_DELAY_S)
+            status, response_payload = self._send(method, target, payload, request_id)
+            is_absent = status in (404, 409) and response_payload.get("current") is None
+            if in_doubt and method == "DELETE" and is_absent:
                 return {}
             if status != 504:
-                return _checked((status, answer))
+                return _payload_or_raise((status, response_payload))
             in_doubt = True
-        return _checked((status, answer))
+        return _payload_or_raise((status, response_payload))
+
+    def _send(self, method, target, payload, request_id):
+        """Send a request to the first daemon that can be reached.
 
-    def _call(self, method, target, payload, request_id):
-        """Return status and payload; 503 if no daemon was reached."""
+        Returns
+        -------
+        status : int
+            503 if no daemon was reached; 504 if a change may have been received by a
+            daemon but no response came back.
+        payload : dict
+        """
         body = b"" if payload is None else json.dumps(payload).encode()
         headers = [*self.secrets.headers, ("Tarragon-Actor", self.actor)]
         if request_id:
@@ -190,34 +209,34 @@
                 method, target, headers, body, TIMEOUT_MS
             )
             if is_successful(result):
-                return result.unwrap().status, _parsed(result.unwrap())
+                return result.unwrap().status, _parse_body(result.unwrap())
             faults.append(str(result.failure()))
-            reading = method != "PUT" and method != "DELETE"
-            if not reading and not isinstance(result.failure(), NotSentError):
-                return 504, {"error": f"no answer from the daemon: {faults[-1]}"}
+            is_read = method != "PUT" and method != "DELETE"
+            if not is_read and not isinstance(result.failure(), NotSentError):
+                return 504, {"error": f"no response from the daemon: {faults[-1]}"}
         return 503, {"error": f"daemon not reached: {'; '.join(faults)}"}
 
 
-def _target(kind, name, **query):
+def _object_target(kind, name, **query):
     path = "/".join(urllib.parse.quote(part, safe="") for part in (kind, name))
     return f"/operator/objects/{path}" + (
         f"?{urllib.parse.urlencode(query)}" if query else ""
     )
 
 
-def _parsed(answer):
+def _parse_body(response):
     try:
-        return json.loads(answer.body)
+        return json.loads(response.body)
     except ValueError:
-        return {"error": f"the daemon answered {answer.status} without JSON"}
+        return {"error": f"the daemon answered {response.status} without JSON"}
 
 
-def _checked(reply):
-    status, payload = reply
+def _payload_or_raise(response):
+    status, payload = response
     if status == 200:
         return payload
     lines = [payload.get("error", f"status {status}"), *payload.get("faults", [])]
-    exit_code = _EXIT_CODES.get(status, EXIT_FAILED)
+    exit_code = _EXIT_CODES_BY_STATUS.get(status, EXIT_FAILED)
     raise CommandError(exit_code, "\n  ".join(map(str, lines)), payload)
 
 
@@ -231,7 +250,7 @@
         raise CommandError(EXIT_INVALID, f"--secret-file: {path}: {error}") from error
 
 
-def _actor():
+def _current_user():
     try:
         name = getpass.getuser()
     except (KeyError, OSError):
--- a/src/tarragonramp/command.py
+++ b/src/tarragonramp/command.py
@@ -1,9 +1,9 @@
 """tarragonramp: the operators' command.
 
-Exit codes: 0 done; 1 failed; 2 invalid input, nothing was changed; 3 lost a race
-against another change; 4 daemon or platform not reached, nothing was changed; 5 the
-outcome is unknown; 6 not the same (diff) or not converged (watch); 7 the operator
-secret is missing or wrong.
+Exit codes: 0 success; 1 failure; 2 invalid input, nothing was changed; 3 conflict with
+a concurrent change; 4 daemon or platform not reached, nothing was changed; 5 the
+outcome is unknown; 6 differences found (diff) or not converged in time (watch); 7 the
+operator secret is missing or wrong.
 """
 
 import sys
@@ -31,7 +31,14 @@
     CommandError,
     OperatorClient,
 )
-from .console import Output, audit_rows, difference, pending, rendered, table
+from .console import (
+    Output,
+    audit_rows,
+    describe_pending,
+    difference,
+    format_table,
+    render,
+)
 from .declarations import (
     Declared,
     check_declarations,
@@ -43,7 +50,7 @@
 
 __all__ = ["main"]
 
-WATCH_EVERY_S = 0.5
+WATCH_INTERVAL_S = 0.5
 
 
 def apply(
@@ -53,10 +60,11 @@
     secret_file: str = "",
     output: Output = "table",
 ):
-    """Declare the objects of YAML files: all are checked before the first is written.
+    """Declare the objects in YAML files; all are validated before any is written.
 
     A document has ``kind`` (Template, Team or FailureDomain), ``name`` and ``spec``;
-    with a ``version`` as well it is applied only if the object is still at it.
+    if it also has a ``version``, it is applied only if the object is still at that
+    version.
 
     Example: tarragonramp apply --file demo/fraser-valley.yaml
 
@@ -65,18 +73,20 @@
     file
         Files to apply together.
     daemon
-        Control address of any daemon, or several with commas between; else that of
-        TARRAGONRAMP_COMMAND_DAEMON, else 127.0.0.1:7101.
+        Control address of any daemon, or several separated by commas; defaults to
+        TARRAGONRAMP_COMMAND_DAEMON, then to 127.0.0.1:7101.
     secret_file
-        File with the operator secret; else TARRAGONRAMP_COMMAND_SECRET_FILE.
+        File with the operator secret; defaults to TARRAGONRAMP_COMMAND_SECRET_FILE.
     output
-        Form of the output.
+        Output format.
     """
     client = OperatorClient.from_config(daemon, secret_file)
     declarations = read_all(file)
     check_at_daemon(client, declarations)
     rows = apply_all(client, declarations)
-    _print(rows, output, lambda data: table(data, ("object", "result", "version")))
+    _print(
+        rows, output, lambda data: format_table(data, ("object", "result", "version"))
+    )
 
 
 def diff(
@@ -86,7 +96,7 @@
     secret_file: str = "",
     output: Output = "table",
 ):
-    """Show what applying YAML files would change; exit code 6 if anything would.
+    """Show what applying YAML files would change; exit code 6 if there are changes.
 
     Example: tarragonramp diff --file demo/fraser-valley.yaml
 
@@ -99,7 +109,7 @@
     secret_file
         File with the operator secret.
     output
-        Form of the output.
+        Output format.
     """
     client = OperatorClient.from_config(daemon, secret_file)
     found = []
@@ -122,10 +132,10 @@
     secret_file: str = "",
     output: Output = "table",
 ):
-    """Show objects as the platform holds them.
+    """Show objects as the platform stores them.
 
-    What ``--output yaml`` prints of one object can be edited and applied: its
-    version makes sure that nobody else's change in between is lost.
+    The ``--output yaml`` of one object can be edited and applied; its version prevents
+    that from overwriting a change made in between.
 
     Example: tarragonramp get Team fraser-valley --output yaml
 
@@ -134,13 +144,13 @@
     kind
         Template, Team, FailureDomain, Assignment, Term, Member or Status.
     name
-        Of the object; all of the kind if not given.
+        Name of the object; lists all objects of the kind if not given.
     daemon
         Control address of any daemon.
     secret_file
         File with the operator secret.
     output
-        Form of the output.
+        Output format.
     """
     kind = kind_named(kind)
     client = OperatorClient.from_config(daemon, secret_file)
@@ -150,13 +160,13 @@
             message = f"no {kind} named {name!r}: see 'tarragonramp get {kind}'"
             raise CommandError(EXIT_FAILED, message)
         found = shown(found)
-        _print(found, output, lambda item: rendered(item, "yaml", None))
+        _print(found, output, lambda item: render(item, "yaml", None))
         return
     items = client.get(f"/operator/objects/{urllib.parse.quote(kind, safe='')}")[
         "items"
     ]
     items = [shown(item) for item in items]
-    _print(items, output, lambda data: table(data, ("kind", "name", "version")))
+    _print(items, output, lambda data: format_table(data, ("kind", "name", "version")))
 
 
 def delete(
@@ -169,9 +179,9 @@
 ):
     """Delete a declared object.
 
-    A team takes no requests from then on and goes once the owners of its keys are
-    proved to have let go; apply it again before that and it stays. Deleting a
-    FailureDomain takes an order about it back.
+    A deleted team stops serving requests at once and is removed as soon as it is proved
+    that the owners of its keys have released them; applying it again before that keeps
+    it. Deleting a FailureDomain revokes a state that was set for it.
 
     Example: tarragonramp delete Team fraser-valley
 
@@ -180,42 +190,46 @@
     kind
         Template, Team or FailureDomain.
     name
-        Of the object.
+        Name of the object.
     daemon
         Control address of any daemon.
     secret_file
         File with the operator secret.
     output
-        Form of the output.
+        Output format.
     """
     kind = kind_named(kind)
     client = OperatorClient.from_config(daemon, secret_file)
     current = client.find(kind, name)
     if current is None:
         raise CommandError(EXIT_FAILED, f"no {kind} named {name!r}: nothing to delete")
-    left = client.delete(kind, name, current["version"])
-    leaving = bool(left.get("spec"))
+    remaining = client.delete(kind, name, current["version"])
+    leaving = bool(remaining.get("spec"))
     row = {
         "object": f"{kind}/{name}",
         "result": "leaving" if leaving else "deleted",
-        "version": left.get("version", 0),
+        "version": remaining.get("version", 0),
     }
-    _print([row], output, lambda data: table(data, ("object", "result", "version")))
+    _print(
+        [row], output, lambda data: format_table(data, ("object", "result", "version"))
+    )
     if leaving and output == "table":
-        print("it goes once its keys have no owner: 'tarragonramp watch' follows")
+        print(
+            "removed once its keys have no owner: follow it with 'tarragonramp watch'"
+        )
 
 
 def validate(*file: str, output: Output = "table"):
-    """Check team files and daemon settings without a platform or daemon.
+    """Validate team files and daemon settings offline, without platform or daemon.
 
     Example: tarragonramp validate demo/fraser-valley.yaml /etc/tarragonramp/d1.yaml
 
     Parameters
     ----------
     file
-        Files to check; team files are checked together.
+        Files to validate; team files are checked together.
     output
-        Form of the output.
+        Output format.
     """
     if not file:
         raise CommandError(EXIT_INVALID, "no file given: tarragonramp validate F")
@@ -225,8 +239,8 @@
         if is_successful(result):
             documents = result.unwrap()
             settings = is_settings(documents[0])
-            what = "settings" if settings else "declarations"
-            rows.append({"file": path, "holds": what, "documents": len(documents)})
+            content = "settings" if settings else "declarations"
+            rows.append({"file": path, "holds": content, "documents": len(documents)})
             checked = check_settings(documents, {}) if settings else None
             result = checked or declarations_of(documents)
             if checked is None:
@@ -234,19 +248,23 @@
         if not is_successful(result):
             faults.extend(result.failure().faults)
     found = check_declarations(declarations, Declared())
-    located = [(fault, declarations[i].locate(fault)) for i, fault in found]
-    # A template may be in the platform already: apply will tell.
-    notes = [text for fault, text in located if _is_elsewhere(fault)]
-    faults.extend(text for fault, text in located if not _is_elsewhere(fault))
+    located_faults = [(fault, declarations[i].locate(fault)) for i, fault in found]
+    # A template missing from these files may exist on the platform; apply checks it.
+    notes = [text for fault, text in located_faults if _is_template_fault(fault)]
+    faults.extend(
+        text for fault, text in located_faults if not _is_template_fault(fault)
+    )
     if faults:
         raise CommandError(EXIT_INVALID, counted(faults))
     for note in notes:
         print(f"note: {note} in these files", file=sys.stderr)
-    _print(rows, output, lambda data: table(data, ("file", "holds", "documents")))
+    _print(
+        rows, output, lambda data: format_table(data, ("file", "holds", "documents"))
+    )
 
 
 def status(*, daemon: str = "", secret_file: str = "", output: Output = "table"):
-    """Show what operators intend against what is in force, and who lags.
+    """Show the intended configuration, the one in force, and which daemons lag behind.
 
     Example: tarragonramp status --daemon 10.0.0.1:7101,10.0.1.1:7101
 
@@ -257,7 +275,7 @@
     secret_file
         File with the operator secret.
     output
-        Form of the output.
+        Output format.
     """
     client = OperatorClient.from_config(daemon, secret_file)
     _print(client.get("/operator/status"), output, _status_text)
@@ -270,36 +288,36 @@
     secret_file: str = "",
     output: Output = "table",
 ):
-    """Follow until everything intended is in force; exit code 6 if it is not in time.
+    """Wait until the intended configuration is in force; exit code 6 on timeout.
 
     Example: tarragonramp watch --timeout-s 15
 
     Parameters
     ----------
     timeout_s
-        When to give up, in seconds; 60 if not given.
+        Timeout in seconds; 60 if not given.
     daemon
         Control address of any daemon.
     secret_file
         File with the operator secret.
     output
-        Form of the last line; yaml and json print the last status.
+        Output format; yaml and json print only the last status.
     """
     client = OperatorClient.from_config(daemon, secret_file)
-    until_s = time.monotonic() + timeout_s
-    shown = None
+    deadline_s = time.monotonic() + timeout_s
+    last_pending = None
     while True:
         current = client.get("/operator/status")
-        left = pending(current)
-        if left != shown and output == "table":
-            _print_pending(current, left)
-        shown = left
-        if not left or time.monotonic() >= until_s:
+        pending = describe_pending(current)
+        if pending != last_pending and output == "table":
+            _print_pending(current, pending)
+        last_pending = pending
+        if not pending or time.monotonic() >= deadline_s:
             break
-        time.sleep(WATCH_EVERY_S)
+        time.sleep(WATCH_INTERVAL_S)
     if output != "table":
         _print(current, output, None)
-    return EXIT_DIFFERS if left else EXIT_OK
+    return EXIT_DIFFERS if pending else EXIT_OK
 
 
 def audit(
@@ -309,23 +327,23 @@
     secret_file: str = "",
     output: Output = "table",
 ):
-    """Show who changed what, when, and what became of it; newest first.
+    """Show the audit trail of changes and their outcomes, newest first.
 
-    The outcomes are done, refused, conflict, not-done, unknown, and begun: a change
-    was tried and its outcome was not recorded.
+    The outcomes are done, refused, conflict, not-done, unknown, and begun: the change
+    was attempted and its outcome was not recorded.
 
     Example: tarragonramp audit --limit 20
 
     Parameters
     ----------
     limit
-        Most entries to show, up to 1000; 50 if not given.
+        Maximum number of entries to show, up to 1000; 50 if not given.
     daemon
         Control address of any daemon.
     secret_file
         File with the operator secret.
     output
-        Form of the output.
+        Output format.
     """
     client = OperatorClient.from_config(daemon, secret_file)
     entries = client.get(f"/operator/audit?limit={max(1, limit)}")["items"]
@@ -333,7 +351,7 @@
     _print(
         entries,
         output,
-        lambda data: table(audit_rows(data), (*columns, "detail")),
+        lambda data: format_table(audit_rows(data), (*columns, "detail")),
     )
 
 
@@ -346,7 +364,7 @@
     secret_file: str = "",
     output: Output = "table",
 ):
-    """Show who owns a key, under which fencing token, who renews its grant, and why.
+    """Show the owner of a key, its fencing token, who renews its grant, and why.
 
     Example: tarragonramp explain fraser-valley records record-17
 
@@ -355,21 +373,21 @@
     team
         Name of the team.
     service
-        Name of one of its divided services.
+        Name of one of the team's divided services.
     key
-        The key as callers send it.
+        Key as callers send it.
     daemon
         Control address of any daemon.
     secret_file
         File with the operator secret.
     output
-        Form of the output.
+        Output format.
     """
     client = OperatorClient.from_config(daemon, secret_file)
     path = "/".join(urllib.parse.quote(part, safe="") for part in (team, service))
     quoted = urllib.parse.quote(key, safe="")
     found = client.get(f"/operator/explain/{path}?key={quoted}")
-    _print(found, output, lambda item: rendered(item, "yaml", None))
+    _print(found, output, lambda item: render(item, "yaml", None))
 
 
 def take_out(
@@ -379,23 +397,23 @@
     secret_file: str = "",
     output: Output = "table",
 ):
-    """Give a failure domain no new work, and move its keys away.
+    """Take a failure domain out of service: no new work, and its keys move away.
 
     Example: tarragonramp domain take-out b && tarragonramp watch
 
     Parameters
     ----------
     failure_domain
-        Its name.
+        Name of the failure domain.
     daemon
         Control address of any daemon.
     secret_file
         File with the operator secret.
     output
-        Form of the output.
+        Output format.
     """
     client = OperatorClient.from_config(daemon, secret_file)
-    _print_order(order_domain(client, failure_domain, "out"), output)
+    _print_domain_state(order_domain(client, failure_domain, "out"), output)
 
 
 def bring_back(
@@ -405,23 +423,23 @@
     secret_file: str = "",
     output: Output = "table",
 ):
-    """Give a failure domain work again.
+    """Return a failure domain to service.
 
     Example: tarragonramp domain bring-back b
 
     Parameters
     ----------
     failure_domain
-        Its name.
+        Name of the failure domain.
     daemon
         Control address of any daemon.
     secret_file
         File with the operator secret.
     output
-        Form of the output.
+        Output format.
     """
     client = OperatorClient.from_config(daemon, secret_file)
-    _print_order(order_domain(client, failure_domain, "in"), output)
+    _print_domain_state(order_domain(client, failure_domain, "in"), output)
 
 
 def declare_lost(
@@ -432,36 +450,38 @@
     secret_file: str = "",
     output: Output = "table",
 ):
-    """Say that no process runs in a failure domain any more.
+    """Declare that no process runs in a failure domain any more.
 
-    Its keys are given to others at once, on this word alone. If a backend server or
-    daemon does run there, cut off from the others, keys get two owners: make sure
-    that its VMs are off first.
+    Its keys are assigned to other servers at once, without further proof. If a backend
+    server or daemon still runs there, cut off from the others, keys get two owners:
+    make sure that its VMs are off first.
 
     Example: tarragonramp domain declare-lost b --confirm b
 
     Parameters
     ----------
     failure_domain
-        Its name.
+        Name of the failure domain.
     confirm
-        Its name once more.
+        Name of the failure domain, repeated as a confirmation.
     daemon
         Control address of any daemon.
     secret_file
         File with the operator secret.
     output
-        Form of the output.
+        Output format.
     """
     if confirm != failure_domain:
         message = (
-            f"this gives the keys of {failure_domain} to others without asking their "
-            "owners; make sure that its VMs are off, then add "
+            f"this assigns the keys of {failure_domain} to other servers without "
+            "asking their owners; make sure that its VMs are off, then add "
             f"--confirm {failure_domain}"
         )
         raise CommandError(EXIT_INVALID, message)
     client = OperatorClient.from_config(daemon, secret_file)
-    _print_order(order_domain(client, failure_domain, "lost", confirm=confirm), output)
+    _print_domain_state(
+        order_domain(client, failure_domain, "lost", confirm=confirm), output
+    )
 
 
 COMMANDS = {
@@ -490,12 +510,12 @@
     Parameters
     ----------
     argv : list of str, optional
-        Arguments without the program's name.
+        Arguments without the program's name; those of the process by default.
 
     Returns
     -------
     exit_code : int
-        As the module's text lists them.
+        One of the codes that the module's docstring lists.
     """
     options = {"prog": "tarragonramp", "description": __doc__}
     try:
@@ -510,17 +530,17 @@
     return exit_code or EXIT_OK
 
 
-def _is_elsewhere(fault):
+def _is_template_fault(fault):
     return fault.path == "spec.template"
 
 
-def _print_order(row, output):
-    _print([row], output, lambda data: table(data, tuple(row)))
+def _print_domain_state(row, output):
+    _print([row], output, lambda data: format_table(data, tuple(row)))
 
 
 def _status_text(data):
     reached = "" if data["platform_reached"] else " (platform not reached)"
-    domains = table(
+    domains = format_table(
         data["failure_domains"],
         (
             "failure_domain",
@@ -533,23 +553,23 @@
             "slices_owned",
         ),
     )
-    services = table(
+    services = format_table(
         data["services"],
         ("team", "service", "slices", "owned", "releasing", "servers", "leaving"),
     )
-    head = f"intended version: {data['intended_version']}{reached}"
-    return f"{head}\n\n{domains}\n\n{services}"
+    headline = f"intended version: {data['intended_version']}{reached}"
+    return f"{headline}\n\n{domains}\n\n{services}"
 
 
-def _print_pending(current, left):
-    if not left:
+def _print_pending(current, pending):
+    if not pending:
         print(f"converged: version {current['intended_version']} is in force")
         return
-    print(f"not yet ({len(left)}): " + "; ".join(left), flush=True)
+    print(f"not converged ({len(pending)}): " + "; ".join(pending), flush=True)
 
 
-def _print(data, output, as_table):
-    text = rendered(data, output, as_table)
+def _print(data, output, to_table):
+    text = render(data, output, to_table)
     if text:
         print(text)
 
--- a/src/tarragonramp/console.py
+++ b/src/tarragonramp/console.py
@@ -1,4 +1,4 @@
-"""What the operators' command prints: tables for people, data for programs."""
+"""Output formats of the operators' command: tables for people, YAML and JSON."""
 
 import datetime
 import difflib
@@ -7,39 +7,46 @@
 
 import yaml
 
-__all__ = ["Output", "audit_rows", "difference", "pending", "rendered", "table"]
+__all__ = [
+    "Output",
+    "audit_rows",
+    "describe_pending",
+    "difference",
+    "format_table",
+    "render",
+]
 
 Output = Literal["table", "yaml", "json"]
 
 
-def rendered(data, output, as_table):
-    """Return data in the wanted form.
+def render(data, output, to_table):
+    """Format data for output.
 
     Parameters
     ----------
     data : dict or list
     output : {"table", "yaml", "json"}
-    as_table : callable
-        ``as_table(data) -> str``
+    to_table : callable
+        ``to_table(data) -> str``
     """
     if output == "json":
         return json.dumps(data, indent=2)
     if output == "yaml":
         return yaml.safe_dump(data, sort_keys=False, allow_unicode=True).rstrip()
-    return as_table(data)
+    return to_table(data)
 
 
-def table(rows, columns):
-    """Return rows with their columns in line.
+def format_table(rows, columns):
+    """Format rows as a text table with aligned columns.
 
     Parameters
     ----------
     rows : list of dict
     columns : sequence of str
-        Keys of the rows; the title says them with spaces.
+        Keys of the rows; the header shows them with spaces for underscores.
     """
     titles = [column.replace("_", " ") for column in columns]
-    cells = [titles] + [[_cell(row.get(c, "")) for c in columns] for row in rows]
+    cells = [titles] + [[_format_cell(row.get(c, "")) for c in columns] for row in rows]
     widths = [max(len(line[i]) for line in cells) for i in range(len(columns))]
     lines = [
         "  ".join(text.ljust(width) for text, width in zip(line, widths, strict=True))
@@ -49,17 +56,17 @@
 
 
 def difference(before, after, label):
-    """Return the unified difference of two specs; empty if there is none.
+    """Return the unified diff of two specs; empty if they are equal.
 
     Parameters
     ----------
     before, after : dict
     label : str
-        Names the object.
+        Name of the object in the diff's header.
     """
     lines = difflib.unified_diff(
-        _lines(before),
-        _lines(after),
+        _yaml_lines(before),
+        _yaml_lines(after),
         f"{label} (platform)",
         f"{label} (declared)",
         lineterm="",
@@ -67,31 +74,36 @@
     return "\n".join(lines)
 
 
-def pending(status):
-    """Return what has not converged yet, one text each.
+def describe_pending(status):
+    """Describe what has not converged yet.
 
     Parameters
     ----------
     status : dict
-        As a daemon answers it.
+        Response of a daemon to ``/operator/status``.
+
+    Returns
+    -------
+    found : list of str
+        One description for each cause; empty if everything has converged.
     """
     found = []
     intended = status["intended_version"]
     if not status["platform_reached"]:
-        found.append("platform not reached: a newer configuration may be unknown here")
+        found.append("platform not reached: a newer configuration may not be known yet")
     found += [f"cannot be read: {text}" for text in status["unreadable"]]
     for row in status["failure_domains"]:
         name = row["failure_domain"]
-        lost = row["order"] == "lost"
-        if not row["answers"] and not lost:
+        is_lost = row["order"] == "lost"
+        if not row["answers"] and not is_lost:
             found.append(f"failure domain {name}: no daemon answers")
-        if not row["in_force"] and not lost:
-            who = ", ".join(row["lagging"]) or "no daemon has reported"
+        if not row["in_force"] and not is_lost:
+            daemons = ", ".join(row["lagging"]) or "no daemon has reported"
             version = row["in_force_version"]
-            found.append(f"failure domain {name}: {version} of {intended} ({who})")
+            found.append(f"failure domain {name}: {version} of {intended} ({daemons})")
         if row["order"] != "in" and row["slices_owned"]:
-            kept = row["slices_owned"]
-            found.append(f"failure domain {name}: still holds {kept} slices")
+            n_slices = row["slices_owned"]
+            found.append(f"failure domain {name}: still holds {n_slices} slices")
     for row in status["services"]:
         label = f"{row['team']}/{row['service']}"
         if row["leaving"]:
@@ -102,10 +114,10 @@
 
 
 def audit_rows(entries):
-    """Return audit entries with what a person reads first."""
+    """Return audit entries as table rows, the most relevant columns first."""
     return [
         {
-            "time": _time(entry["at_ms"]),
+            "time": _format_time(entry["at_ms"]),
             "actor": entry["actor"],
             "from": entry["remote"],
             "action": entry["action"],
@@ -118,16 +130,16 @@
     ]
 
 
-def _time(at_ms):
-    moment = datetime.datetime.fromtimestamp(at_ms / 1000.0, datetime.UTC)
-    return moment.strftime("%Y-%m-%dT%H:%M:%SZ")
+def _format_time(at_ms):
+    timestamp = datetime.datetime.fromtimestamp(at_ms / 1000.0, datetime.UTC)
+    return timestamp.strftime("%Y-%m-%dT%H:%M:%SZ")
 
 
-def _lines(spec):
+def _yaml_lines(spec):
     return yaml.safe_dump(spec, sort_keys=True).splitlines() if spec else []
 
 
-def _cell(value):
+def _format_cell(value):
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, list):
--- a/src/tarragonramp/explanation.py
+++ b/src/tarragonramp/explanation.py
@@ -4,7 +4,7 @@
 import sys
 
 from .client import EXIT_FAILED, EXIT_INVALID, CommandError
-from .console import Output, rendered, table
+from .console import Output, format_table, render
 from .losses import losses_of, suppressed_in
 from .storylines import parse_line, story_of
 
@@ -81,7 +81,7 @@
         }
         for loss in losses
     ]
-    print(rendered(rows, output, lambda data: table(data, COLUMNS)))
+    print(render(rows, output, lambda data: format_table(data, COLUMNS)))
     suppressed = suppressed_in(lines, *span)
     if suppressed:
         message = f"{suppressed} more have no line; the refusals metric counts them all"
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -1,4 +1,4 @@
-"""The operators' command: against one daemon's operator port, and on a whole site."""
+"""Tests of the operators' command, against one operator port and on a whole site."""
 
 import contextlib
 import io
@@ -36,7 +36,7 @@
 SECRET = "operator-secret-0123456789"
 PEER_SECRET = "peer-secret-0123456789"
 
-# A process of its own: gRPC's threads do not work in one that gevent has patched.
+# Run in a separate process: gRPC's threads do not work in one patched by gevent.
 REPORT = """
 import sys
 from tarragonramp.adapters.peers import GrpcPeers
@@ -49,20 +49,20 @@
 
 
 class OperatorPort:
-    """An operator port in this process, before the platform's stand-in."""
+    """An operator port in this process, backed by the platform's stand-in."""
 
     def __init__(self, secret=""):
         self.stand_in = PlatformStandIn()
         platform_address, self.address = free_address(), free_address()
         self.platform = HttpPlatform(HttpPool(platform_address), 1000)
-        me = Member("d1", "b1", "a", self.address, "127.0.0.1:1")
+        member = Member("d1", "b1", "a", self.address, "127.0.0.1:1")
         view = View()
         view.apply_vms([Vm("v1", "127.0.0.1:2", "b", "t", "s")])
-        self.trail = AuditTrail(me, self.platform, Clock(), 100)
+        self.trail = AuditTrail(member, self.platform, Clock(), 100)
         secrets = Secrets.from_text(secret)
-        overview = Overview(me, view, self.platform, HttpPools())
+        overview = Overview(member, view, self.platform, HttpPools())
         self.app = Operators(
-            me, view, self.platform, overview, Clock(), self.trail, secrets
+            member, view, self.platform, overview, Clock(), self.trail, secrets
         )
         self.servers = [
             WebServer(platform_address, self.stand_in),
@@ -77,7 +77,7 @@
             server.stop(timeout=1)
 
     def specs(self, kind):
-        """Return what the platform holds of a kind, by name."""
+        """Return the specs that the platform stores of a kind, by name."""
         return {
             name: item["spec"]
             for (k, name), item in self.stand_in.objects.items()
@@ -91,18 +91,18 @@
 
 
 class CommandTest(unittest.TestCase):
-    """One operator port; the command runs in this process."""
+    """The command, run in this process against one operator port."""
 
     def setUp(self):
         self.port = OperatorPort()
         self.addCleanup(self.port.stop)
         self.folder = self.enterContext(tempfile.TemporaryDirectory())
-        # The waits for a platform that does not answer, shortened.
+        # Shorter timeouts for the tests in which the platform does not answer.
         self.enterContext(unittest.mock.patch.object(operators, "CHANGE_MS", 500))
         self.enterContext(unittest.mock.patch.object(audit, "WRITE_MS", 500))
 
     def run_command(self, *arguments, port=None):
-        """Run the command; return exit code, output and errors."""
+        """Run the command; return its exit code, standard output and standard error."""
         address = (port or self.port).address
         if arguments[0] != "validate":
             arguments += ("--daemon", address)
@@ -121,13 +121,13 @@
         return path
 
     def changed_team(self, **parameters):
-        """Return a file with the first user's team, some parameters changed."""
+        """Write the first demo team with some parameters changed; return the path."""
         with open(TEAM_FILES[0], encoding="utf-8") as stream:
             documents = list(yaml.safe_load_all(stream))
         documents[1]["spec"]["parameters"].update(parameters)
         return self.write(documents)
 
-    def test_apply_get_diff_and_apply_again(self):
+    def test_apply_is_idempotent_and_diff_and_get_show_the_object(self):
         self.assertEqual(self.run_command("apply", "-f", *TEAM_FILES)[0], 0)
         code, out, _ = self.run_command("apply", "-f", *TEAM_FILES, "-o", "json")
         self.assertEqual({row["result"] for row in json.loads(out)}, {"unchanged"})
@@ -141,34 +141,34 @@
         self.assertEqual(yaml.safe_load(out)["spec"]["template"], "grant-desk")
         self.assertEqual(self.port.outcomes(), ["done"] * 4)
 
-    def test_nothing_is_written_if_one_document_of_several_is_wrong(self):
-        """An operator applies a good file and one with a fault in it.
+    def test_apply_writes_nothing_if_one_document_is_invalid(self):
+        """An operator applies a valid file together with an invalid one.
 
-        Written one after the other, the first would be in force before the second
-        is refused: half a change, that nobody asked for.
+        If each were written after its own check, the first would be in force before
+        the second is rejected, and only half of the change would be applied.
         """
-        wrong = self.changed_team(slots=0)
-        code, _, err = self.run_command("apply", "-f", TEAM_FILES[1], wrong)
+        invalid = self.changed_team(slots=0)
+        code, _, err = self.run_command("apply", "-f", TEAM_FILES[1], invalid)
         self.assertEqual(code, client.EXIT_INVALID)
         self.assertIn("spec.services[0].slots_per_server: 0: expected 1 to", err)
         self.assertIn("nothing was changed", err)
         self.assertEqual(self.port.stand_in.objects, {})
 
-    def test_a_lost_race_shows_both_versions(self):
-        """Two operators edit one team; the slower one has seen the older version."""
+    def test_conflict_shows_both_versions(self):
+        """Two operators edit one team; the later one edits the older version."""
         self.run_command("apply", "-f", TEAM_FILES[0])
         _, out, _ = self.run_command("get", "Team", "fraser-valley", "-o", "yaml")
-        mine = yaml.safe_load(out)
+        edited = yaml.safe_load(out)
         self.run_command("apply", "-f", self.changed_team(slots=5))
-        mine["spec"]["parameters"]["slots"] = 7
-        code, _, err = self.run_command("apply", "-f", self.write([mine], "m.yaml"))
+        edited["spec"]["parameters"]["slots"] = 7
+        code, _, err = self.run_command("apply", "-f", self.write([edited], "m.yaml"))
         self.assertEqual(code, client.EXIT_CONFLICT)
         held = self.port.stand_in.objects["Team", "fraser-valley"]["version"]
-        self.assertIn(f"version {mine['version']}, platform holds {held}", err)
+        self.assertIn(f"version {edited['version']}, platform holds {held}", err)
         self.assertIn("-  slots: 5\n+  slots: 7", err)
         self.assertIn("next: ", err)
 
-    def test_a_race_lost_at_the_platform_is_audited(self):
+    def test_conflict_at_the_platform_is_audited(self):
         self.run_command("apply", "-f", TEAM_FILES[0])
         target = "/operator/objects/Team/fraser-valley?version=1"
         spec = {"template": "grant-desk"}
@@ -177,31 +177,31 @@
         self.assertEqual(answer.unwrap().status, 409)
         self.assertEqual(self.port.outcomes()[-1], "conflict")
 
-    def test_a_lost_answer_is_no_doubt_and_no_second_change(self):
-        """The platform makes the change and its answer is lost.
+    def test_lost_platform_response_does_not_repeat_the_change(self):
+        """The platform applies a change and its response is lost.
 
-        An operator who is told "failed" applies it again, over a colleague's change
-        that came in between.
+        If the command reported a failure, the operator would apply the change again
+        and overwrite a change that somebody else made in between.
         """
         self.port.stand_in.faults.lose_answers = 1
         code, _, err = self.run_command("domain", "take-out", "b")
         self.assertEqual((code, err), (0, ""))
-        # The audit entry's first write was the lost one; now the order's own.
-        wanted = self.port.platform.put
+        # That lost the first write of the audit entry; now lose the change's own write.
+        original_put = self.port.platform.put
 
         def put(kind, name, spec, version):
             if kind == "FailureDomain":
                 self.port.stand_in.faults.lose_answers = 1
-            return wanted(kind, name, spec, version)
+            return original_put(kind, name, spec, version)
 
-        self.port.app.platform = _Changed(self.port.platform, put=put)
+        self.port.app.platform = _PatchedPlatform(self.port.platform, put=put)
         code, _, err = self.run_command("domain", "bring-back", "b")
         self.assertEqual((code, err), (0, ""))
         self.assertEqual(self.port.specs("FailureDomain")["b"]["state"], "in")
         self.assertEqual(self.port.outcomes(), ["done", "done"])
 
-    def test_operators_whose_teams_clash_at_the_same_moment_are_told(self):
-        """Two operators declare teams with one path; both pass the checks."""
+    def test_concurrent_conflicting_teams_cause_a_warning(self):
+        """Two operators declare teams with one path at once; both pass the checks."""
         self.run_command("apply", "-f", TEAM_FILES[0])
         rival = {"kind": "Team", "name": "rival", "spec": {"template": "grant-desk"}}
         with (
@@ -213,46 +213,46 @@
         self.assertIn("warning: clashes", err)
         self.assertIn("claimed by team fraser-valley", err)
 
-    def test_an_outcome_that_nobody_knows_is_said_to_be_unknown(self):
+    def test_unresolved_write_is_reported_as_outcome_unknown(self):
         def put(kind, name, spec, version):
             return Failure(PlatformUnreachableError("timed out"))
 
-        self.port.app.platform = _Changed(self.port.platform, put=put)
+        self.port.app.platform = _PatchedPlatform(self.port.platform, put=put)
         code, _, err = self.run_command("domain", "take-out", "b")
         self.assertEqual(code, client.EXIT_UNKNOWN)
         self.assertIn("outcome unknown", err)
         self.assertEqual(set(self.port.outcomes()), {"unknown"})
 
-    def test_a_platform_that_is_down_means_nothing_changed(self):
+    def test_unreachable_platform_is_reported_as_nothing_changed(self):
         self.port.servers[0].stop(timeout=1)
         code, _, err = self.run_command("apply", "-f", TEAM_FILES[0])
         self.assertEqual(code, client.EXIT_UNREACHABLE)
         self.assertIn("nothing changed", err)
 
-    def test_an_entry_whose_second_write_was_lost_says_begun(self):
-        """A daemon is lost between a change and the second write of its entry."""
-        wanted = self.port.platform.put
+    def test_audit_entry_without_second_write_shows_begun(self):
+        """A daemon fails between a change and the second write of its audit entry."""
+        original_put = self.port.platform.put
 
         def put(kind, name, spec, version):
             if kind == KIND_AUDIT_ENTRY and version:
                 return Failure(PlatformUnreachableError("lost"))
-            return wanted(kind, name, spec, version)
+            return original_put(kind, name, spec, version)
 
-        self.port.trail.platform = _Changed(self.port.platform, put=put)
+        self.port.trail.platform = _PatchedPlatform(self.port.platform, put=put)
         self.assertEqual(self.run_command("domain", "take-out", "b")[0], 0)
         code, out, _ = self.run_command("audit")
         self.assertEqual(code, 0)
         self.assertIn("begun", out)
         self.assertIn("the change is in the object now", out)
 
-    def test_refusals_are_audited(self):
+    def test_rejected_changes_are_audited(self):
         self.assertEqual(self.run_command("domain", "take-out", "bb")[0], 2)
         _, out, _ = self.run_command("audit", "-o", "json")
         entry = json.loads(out)[0]
         self.assertEqual((entry["outcome"], entry["name"]), ("refused", "bb"))
         self.assertEqual(entry["remote"], "127.0.0.1")
 
-    def test_the_audit_trail_is_bounded(self):
+    def test_audit_trail_is_pruned(self):
         for i in range(150):
             spec = {"at_ms": i, "outcome": "done"}
             self.port.platform.put(KIND_AUDIT_ENTRY, f"{i:013d}-x", spec, 0)
@@ -260,7 +260,7 @@
         names = sorted(self.port.specs(KIND_AUDIT_ENTRY))
         self.assertEqual((len(names), names[0]), (100, f"{50:013d}-x"))
 
-    def test_declaring_a_failure_domain_lost_needs_its_name_again(self):
+    def test_declare_lost_requires_confirmation(self):
         code, _, err = self.run_command("domain", "declare-lost", "b")
         self.assertEqual(code, client.EXIT_INVALID)
         self.assertIn("--confirm b", err)
@@ -285,7 +285,7 @@
         self.assertIn("parameters.x: template 'grant-desk' has no such", err)
         self.assertEqual(self.run_command("validate")[0], client.EXIT_INVALID)
 
-    def test_what_is_not_there_is_said_so(self):
+    def test_missing_objects_files_and_kinds_are_reported(self):
         self.assertEqual(self.run_command("get", "Team", "x")[0], 1)
         self.assertEqual(self.run_command("delete", "Team", "x")[0], 1)
         self.assertEqual(self.run_command("explain", "a", "b", "c")[0], 1)
@@ -303,16 +303,17 @@
         self.assertIn("cannot be declared", err)
         self.assertIn("x", self.port.specs("Assignment"))
 
-    def test_no_daemon_is_reached(self):
+    def test_unreachable_daemon_is_reported(self):
         self.port.servers[1].stop(timeout=1)
         code, _, err = self.run_command("status")
         self.assertEqual(code, client.EXIT_UNREACHABLE)
         self.assertIn("another daemon", err)
 
-    def test_a_call_without_the_secret_is_refused_and_audited_once(self):
-        """Somebody tries secrets as fast as the port answers.
+    def test_unauthenticated_calls_are_rejected_and_audited_once(self):
+        """A caller without the secret calls the port repeatedly.
 
-        Each try is refused; the platform sees one write a minute, not one a try.
+        Each call is rejected; the audit trail gets one write a minute, not one a call,
+        so that guessing secrets does not load the platform.
         """
         port = OperatorPort(SECRET)
         self.addCleanup(port.stop)
@@ -332,20 +333,20 @@
         self.assertEqual(done[0], 0)
         self.assertEqual(port.outcomes(), ["refused"])
 
-    def test_bodies_that_make_no_sense_are_refused(self):
+    def test_malformed_bodies_are_rejected(self):
         pool = HttpPool(self.port.address)
         target = "/operator/objects/Team/t?version=0"
         for body in (b"{", b"[]", b"null", b'"x"'):
             status = pool.exchange("PUT", target, (), body, 5000).unwrap().status
             self.assertEqual(status, 400, body)
-        odd = pool.exchange("PUT", target + "x", (), b"{}", 5000).unwrap().status
-        self.assertEqual(odd, 400)
+        malformed = pool.exchange("PUT", target + "x", (), b"{}", 5000).unwrap().status
+        self.assertEqual(malformed, 400)
         large = pool.exchange("PUT", target, (), b" " * 1_100_000, 5000).unwrap()
         self.assertEqual(large.status, 413)
 
 
-class _Changed:
-    """A platform some of whose methods are replaced."""
+class _PatchedPlatform:
+    """A platform with some of its methods replaced."""
 
     def __init__(self, platform, **methods):
         self._platform = platform
@@ -378,22 +379,22 @@
         cls.site.wait_ready([spec.name for spec in DAEMONS])
 
     def run_command(self, *arguments):
-        """Run the command as a process; return exit code and output."""
+        """Run the command as a process; return its exit code and combined output."""
         done = self.site.command(
             *arguments, "--secret-file", self.secret_file, daemon="d1"
         )
         return done.returncode, done.stdout + done.stderr
 
     def converge(self):
-        """Wait until everything intended is in force."""
+        """Wait until the intended configuration is in force."""
         code, text = self.run_command("watch", "--timeout-s", "20")
         self.assertEqual(code, 0, text)
 
     def status(self):
-        """Return the status as data."""
+        """Return the parsed status."""
         return json.loads(self.run_command("status", "--output", "json")[1])
 
-    def test_1_a_configuration_is_in_force_in_every_failure_domain(self):
+    def test_1_configuration_comes_into_force_in_every_failure_domain(self):
         code, text = self.run_command("apply", "--file", *TEAM_FILES)
         self.assertEqual(code, 0, text)
         self.converge()
@@ -402,11 +403,11 @@
             [row["in_force"] for row in status["failure_domains"]], [True, True]
         )
 
-    def test_1_strangers_are_no_peers(self):
-        """Somebody who reaches the peer ports but has no secret.
+    def test_1_unauthenticated_peers_are_rejected(self):
+        """A caller reaches the peer ports without the secret.
 
-        He could answer for a daemon or prove releases that never happened, and a
-        key would get two owners.
+        If it were accepted, it could impersonate a daemon or report releases that never
+        happened, and a key would get two owners.
         """
         settings = self.site.settings["d1"]
         for target in ("/peer/ping", "/peer/in-force"):
@@ -431,11 +432,11 @@
         self.assertEqual(self.run_command("domain", "bring-back", "b")[0], 0)
         self.converge()
 
-    def test_3_a_deleted_team_goes_once_its_keys_have_no_owner(self):
-        """A team is deleted and declared anew while its servers go on running.
+    def test_3_deleted_team_is_removed_once_its_keys_have_no_owner(self):
+        """A team is deleted and declared again while its servers keep running.
 
-        If its keys were not taken from their owners first, the new team's planner
-        would give them to others beside the old owners.
+        If its keys were not released first, the planner of the new team would assign
+        them to other servers while the old owners still hold them.
         """
         name = "cooperative.jobs"
         _, text = self.run_command("get", "Assignment", name, "-o", "json")
@@ -452,7 +453,7 @@
         tokens = [item[4] for item in json.loads(text)["spec"]["ranges"]]
         self.assertGreater(min(tokens), min(item[4] for item in before))
 
-    def test_4_a_daemon_that_lags_is_named(self):
+    def test_4_watch_names_a_lagging_daemon(self):
         """A daemon is frozen while the configuration changes."""
         self.site.signal("d2", signal.SIGSTOP)
         try:
@@ -465,11 +466,11 @@
         self.assertEqual(self.run_command("domain", "bring-back", "b")[0], 0)
         self.converge()
 
-    def test_5_a_lost_failure_domain_gives_its_keys_up_on_an_operators_word(self):
-        """Every VM of a failure domain burns; nobody is left to prove a release.
+    def test_5_keys_of_a_failure_domain_declared_lost_are_reassigned(self):
+        """All VMs of a failure domain are lost, and no process can prove a release.
 
-        Its keys stay with their dead owners, for all that the others know, until an
-        operator says that nothing runs there any more.
+        The other daemons cannot tell a dead owner from one that is cut off. The keys
+        stay with their owners until an operator declares the failure domain lost.
         """
         for backend in BACKENDS:
             if backend.failure_domain == "b":
