--- a/src/tarragonramp/explanation.py
+++ b/src/tarragonramp/explanation.py
@@ -5,39 +5,39 @@
 
 from .client import EXIT_FAILED, EXIT_INVALID, CommandError
 from .console import Output, format_table, render
-from .losses import losses_of, suppressed_in
-from .storylines import parse_line, story_of
+from .losses import count_suppressed, group_losses
+from .storylines import parse_line, request_timeline
 
 __all__ = ["explain_losses", "explain_request"]
 
-COLUMNS = ("service", "status", "count", "held_ms", "reason", "examples")
+LOSS_COLUMNS = ("service", "status", "count", "held_ms", "reason", "examples")
 
 
 def explain_request(request_id: str, *, log: list[str] | None = None):
-    """Tell what became of one request, from the logs of the daemons.
+    """Trace one request through the logs of the daemons.
 
-    Lines of all daemons are put in the order of time, by clocks that may differ by
-    100 ms. Beside the request's own lines stands what its daemon came to know, and
-    what any daemon says of the servers that it was sent to, from 5 s before.
+    Prints the log lines of all daemons in order of time; their clocks may differ by
+    100 ms. Besides the lines of the request itself, these are the lines of its daemon,
+    and those of any daemon about the servers the request was sent to, from 5 s before.
 
     Example: tarragonramp explain-request 9c41d07be2a35f68 --log d1.log d2.log
 
     Parameters
     ----------
     request_id
-        As the caller sent it; refusals carry it back.
+        Request id as the caller sent it; refused requests carry it in their response.
     log
-        Files with the standard output of daemons; else standard input.
+        Files with the standard output of daemons; standard input if not given.
     """
-    lines = _lines_of(log or [])
-    story = story_of(request_id, lines)
-    if not story:
-        hint = "answers that went well are not logged; was the log complete?"
-        message = f"{request_id}: no line of {len(lines)} names it"
+    lines = _read_log_lines(log or [])
+    timeline = request_timeline(request_id, lines)
+    if not timeline:
+        hint = "successful requests are not logged; is the log complete?"
+        message = f"{request_id}: none of {len(lines)} log lines names it"
         raise CommandError(EXIT_FAILED, f"{message}; {hint}")
-    for line, remark in story:
-        print(f"{line.text}{f'  # {remark}' if remark else ''}")
-    daemons = sorted({line.daemon for line, _ in story})
+    for line, relevance in timeline:
+        print(f"{line.text}{f'  # {relevance}' if relevance else ''}")
+    daemons = sorted({line.daemon for line, _ in timeline})
     if len(daemons) > 1:
         names = ", ".join(daemons)
         print(f"order between {names} is certain only beyond 100 ms", file=sys.stderr)
@@ -50,59 +50,60 @@
     until: str = "",
     output: Output = "table",
 ):
-    """Tell why requests were refused or failed over a span of time, by service.
+    """Summarize why requests were refused or failed in a time range, by service.
 
-    Each row names some requests; explain-request tells the story of one of them.
+    Each row lists some request ids; explain-request traces one of them.
 
     Example: tarragonramp explain-losses --since 2026-04-05T16:25:00Z --log d1.log
 
     Parameters
     ----------
     log
-        Files with the standard output of daemons; else standard input.
+        Files with the standard output of daemons; standard input if not given.
     since
-        Time of day by the daemons' clocks; from the beginning if not given.
+        Start of the time range (ISO 8601, by the daemons' clocks); the beginning of
+        the logs if not given.
     until
-        The same; to the end if not given.
+        End of the time range; the end of the logs if not given.
     output
-        Form of the output.
+        Output format.
     """
-    span = _time_ms(since, "-inf"), _time_ms(until, "inf")
-    lines = _lines_of(log or [])
-    losses = losses_of(lines, *span)
+    time_range = _parse_time_ms(since, "-inf"), _parse_time_ms(until, "inf")
+    lines = _read_log_lines(log or [])
+    losses = group_losses(lines, *time_range)
     rows = [
         {
-            "service": loss.service,
-            "status": loss.status,
-            "count": loss.count,
-            "held_ms": round(loss.median_held_ms),
-            "reason": loss.reason,
-            "examples": " ".join(loss.examples),
+            "service": group.service,
+            "status": group.status,
+            "count": group.count,
+            "held_ms": round(group.median_held_ms),
+            "reason": group.reason,
+            "examples": " ".join(group.examples),
         }
-        for loss in losses
+        for group in losses
     ]
-    print(render(rows, output, lambda data: format_table(data, COLUMNS)))
-    suppressed = suppressed_in(lines, *span)
+    print(render(rows, output, lambda data: format_table(data, LOSS_COLUMNS)))
+    suppressed = count_suppressed(lines, *time_range)
     if suppressed:
-        message = f"{suppressed} more have no line; the refusals metric counts them all"
+        message = f"{suppressed} more were not logged; the refusals metric counts all"
         print(message, file=sys.stderr)
 
 
-def _lines_of(paths):
-    """Return the LogLines of files, or of standard input if there are none."""
-    return [line for text in _log_texts(paths) if (line := parse_line(text))]
+def _read_log_lines(paths):
+    """Return the LogLines of the given files, or of standard input without any."""
+    return [line for text in _read_texts(paths) if (line := parse_line(text))]
 
 
-def _time_ms(text, default):
+def _parse_time_ms(text, default):
     if not text:
         return float(default)
     try:
         return datetime.datetime.fromisoformat(text).timestamp() * 1000.0
     except ValueError:
-        raise CommandError(EXIT_INVALID, f"{text}: no time of day") from None
+        raise CommandError(EXIT_INVALID, f"{text}: not an ISO 8601 time") from None
 
 
-def _log_texts(paths):
+def _read_texts(paths):
     if not paths:
         yield from sys.stdin
     for path in paths:
--- a/src/tarragonramp/losses.py
+++ b/src/tarragonramp/losses.py
@@ -1,26 +1,26 @@
-"""Why requests were refused or failed in a span of time, from the logs of daemons."""
+"""Summary of refused and failed requests, computed from the logs of daemons."""
 
 import statistics
 
 import attrs
 
-__all__ = ["Loss", "losses_of", "suppressed_in"]
+__all__ = ["LossGroup", "count_suppressed", "group_losses"]
 
-MOST_EXAMPLES = 3
+MAX_EXAMPLES = 3
 
 
 @attrs.define
-class Loss:
+class LossGroup:
     """Requests of one service that were refused or failed for one reason.
 
     Parameters
     ----------
     service, status, reason : str
-        The reason with the rule that decided, where there are several.
+        The reason includes the rule that led to it, where there are several.
     held_ms : list of float
-        How long each was held before it was answered.
+        How long each request was held before it was answered.
     examples : list of str
-        Ids of some of them, for ``explain-request``.
+        Ids of some of the requests, for ``explain-request``.
     """
 
     service: str
@@ -31,27 +31,29 @@
 
     @property
     def count(self):
-        """How many requests."""
+        """Number of requests."""
         return len(self.held_ms)
 
     @property
     def median_held_ms(self):
-        """How long half of them were held at most."""
+        """Median of the times for which the requests were held."""
         return statistics.median(self.held_ms)
 
 
-def losses_of(lines, since_ms=float("-inf"), until_ms=float("inf")):
-    """Return why requests were not served, most frequent reasons first.
+def group_losses(lines, since_ms=float("-inf"), until_ms=float("inf")):
+    """Group requests that were not served by service, status and reason.
 
     Parameters
     ----------
     lines : iterable of LogLine
     since_ms, until_ms : float
-        Time of day by the daemons' clocks, in ms since 1970.
+        Bounds of the time range, both included, in ms since the Unix epoch by the
+        daemons' clocks.
 
     Returns
     -------
-    losses : list of Loss
+    losses : list of LossGroup
+        The largest groups first.
     """
     found = {}
     for line in _refusals(lines, since_ms, until_ms):
@@ -60,20 +62,20 @@
         if fields.get("rule"):
             reason = f"{reason}: {fields['rule']}"
         key = fields.get("service") or "none", fields.get("status", "?"), reason
-        loss = found.setdefault(key, Loss(*key))
-        loss.held_ms.append(float(fields.get("held_ms", 0.0)))
-        if len(loss.examples) < MOST_EXAMPLES and fields.get("id"):
-            loss.examples.append(fields["id"])
-    return sorted(found.values(), key=lambda loss: loss.count, reverse=True)
+        group = found.setdefault(key, LossGroup(*key))
+        group.held_ms.append(float(fields.get("held_ms", 0.0)))
+        if len(group.examples) < MAX_EXAMPLES and fields.get("id"):
+            group.examples.append(fields["id"])
+    return sorted(found.values(), key=lambda group: group.count, reverse=True)
 
 
-def suppressed_in(lines, since_ms=float("-inf"), until_ms=float("inf")):
-    """Return how many lines on such requests the daemons left out to bound their logs.
+def count_suppressed(lines, since_ms=float("-inf"), until_ms=float("inf")):
+    """Return how many refusals were not logged because of the daemons' rate limits.
 
     Parameters
     ----------
     lines, since_ms, until_ms
-        As for :func:`losses_of`.
+        As for :func:`group_losses`.
     """
     refusals = _refusals(lines, since_ms, until_ms)
     return sum(int(line.fields.get("suppressed", 0)) for line in refusals)
--- a/src/tarragonramp/storylines.py
+++ b/src/tarragonramp/storylines.py
@@ -1,8 +1,8 @@
-"""One request's story, from the logs of several daemons.
+"""Timeline of one request, assembled from the logs of several daemons.
 
-Each line of a log is ``key=value`` pairs. A request is named by ``id``; what a daemon
-came to believe of a server, of keys or of the store, shortly before or while it had the
-request, may have decided its fate and is part of the story.
+A log line consists of ``key=value`` pairs; ``id`` is the id of a request. The timeline
+also contains what a daemon logged about servers, keys or the store shortly before and
+while it processed the request, because that may have determined the outcome.
 """
 
 import datetime
@@ -11,14 +11,15 @@
 
 import attrs
 
-__all__ = ["REQUEST_EVENTS", "LogLine", "parse_line", "story_of"]
+__all__ = ["REQUEST_EVENTS", "LogLine", "parse_line", "request_timeline"]
 
-BEFORE_MS = 5000.0
-"""How far back a belief may stem from that decided over a request."""
+LOOKBACK_MS = 5000.0
+"""How long before a request its timeline begins: an observation of this age may still
+have determined the outcome."""
 
-SKEW_MS = 100.0
-"""By how much the clocks of two VMs are taken to differ; within it the order of two
-lines of different daemons is not certain."""
+MAX_CLOCK_SKEW_MS = 100.0
+"""Assumed maximum difference between the clocks of two VMs; the order of two lines of
+different daemons within this time is uncertain."""
 
 _PAIR = re.compile(r'([a-z_]+)=("(?:[^"\\]|\\.)*"|[^ ]*)')
 REQUEST_EVENTS = frozenset(("request-refused", "request-served", "try-failed"))
@@ -31,11 +32,11 @@
     Parameters
     ----------
     at_ms : float
-        Time of day by its daemon's clock, in ms since 1970.
+        Time in ms since the Unix epoch, by the daemon's clock.
     daemon, event : str
     fields : dict of str to str
     text : str
-        As it was written.
+        The line as logged.
     """
 
     at_ms: float
@@ -46,23 +47,27 @@
 
 
 def parse_line(text):
-    """Return the LogLine of a text, or None if it is none."""
+    """Parse a line of text; return None if it is not a log line of a daemon."""
     start = text.find("time=")
     if start < 0:
         return None
     text = text[start:].strip()
-    fields = {key: _unquoted(value) for key, value in _PAIR.findall(text)}
+    fields = {key: _unquote(value) for key, value in _PAIR.findall(text)}
     try:
-        at = datetime.datetime.fromisoformat(fields["time"])
+        logged_at = datetime.datetime.fromisoformat(fields["time"])
         return LogLine(
-            at.timestamp() * 1000.0, fields["daemon"], fields["event"], fields, text
+            logged_at.timestamp() * 1000.0,
+            fields["daemon"],
+            fields["event"],
+            fields,
+            text,
         )
     except (KeyError, ValueError):
         return None
 
 
-def story_of(request_id, lines):
-    """Return what the logs say of one request, in the order of time.
+def request_timeline(request_id, lines):
+    """Return the log lines that concern one request, in order of time.
 
     Parameters
     ----------
@@ -71,41 +76,44 @@
 
     Returns
     -------
-    story : list of (LogLine, str)
-        Each line with a remark: empty for the request's own lines, else why it
-        belongs here. Empty if no line names the request.
+    timeline : list of (LogLine, str)
+        Each line with its relevance: empty for lines of the request itself, else why
+        the line is included. An empty list if no line names the request.
     """
     lines = sorted(lines, key=lambda line: line.at_ms)
-    own = [line for line in lines if line.fields.get("id") == request_id]
-    if not own:
+    own_lines = [line for line in lines if line.fields.get("id") == request_id]
+    if not own_lines:
         return []
-    daemons = {line.daemon for line in own}
-    servers = {line.fields["server"] for line in own if "server" in line.fields}
-    first_ms, last_ms = own[0].at_ms - BEFORE_MS, own[-1].at_ms + SKEW_MS
-    story = []
+    daemons = {line.daemon for line in own_lines}
+    servers = {line.fields["server"] for line in own_lines if "server" in line.fields}
+    first_ms, last_ms = (
+        own_lines[0].at_ms - LOOKBACK_MS,
+        own_lines[-1].at_ms + MAX_CLOCK_SKEW_MS,
+    )
+    timeline = []
     for line in lines:
         if not first_ms <= line.at_ms <= last_ms:
             continue
         if line.fields.get("id") == request_id:
-            story.append((line, ""))
+            timeline.append((line, ""))
         elif line.event not in REQUEST_EVENTS:
-            remark = _remark(line, daemons, servers)
-            if remark:
-                story.append((line, remark))
-    return story
+            relevance = _relevance(line, daemons, servers)
+            if relevance:
+                timeline.append((line, relevance))
+    return timeline
 
 
-def _remark(line, daemons, servers):
-    """Return why a line that does not name the request belongs to its story."""
-    named = set(",".join(line.fields.values()).split(","))
-    if servers & named:
-        return "about a server that it was sent to"
+def _relevance(line, daemons, servers):
+    """Return why a line without the request's id is relevant; empty if it is not."""
+    values = set(",".join(line.fields.values()).split(","))
+    if servers & values:
+        return "about a server that the request was sent to"
     if line.daemon in daemons:
-        return "what its daemon came to know"
+        return "observed by its daemon"
     return ""
 
 
-def _unquoted(value):
+def _unquote(value):
     if not value.startswith('"'):
         return value
     try:
--- a/tests/test_losses.py
+++ b/tests/test_losses.py
@@ -1,11 +1,11 @@
-"""Why requests were not served, out of the logs of several daemons."""
+"""Tests of the summary of refused and failed requests from daemons' logs."""
 
 import json
 import subprocess
 import sys
 import unittest
 
-from tarragonramp.losses import losses_of, suppressed_in
+from tarragonramp.losses import count_suppressed, group_losses
 from tarragonramp.storylines import parse_line
 
 LOG = """\
@@ -25,15 +25,15 @@
 
 
 class LossesTest(unittest.TestCase):
-    """A burst of refusals, of which an on-call engineer asks why."""
+    """Grouping a burst of refused requests by their reasons."""
 
     def setUp(self):
         self.lines = [line for t in LOG.splitlines() if (line := parse_line(t))]
 
-    def test_reasons_are_counted_by_service_the_most_frequent_first(self):
-        found = losses_of(self.lines)
+    def test_refusals_are_grouped_by_service_and_reason_largest_first(self):
+        found = group_losses(self.lines)
         self.assertEqual(
-            [(loss.service, loss.reason, loss.count) for loss in found],
+            [(group.service, group.reason, group.count) for group in found],
             [
                 ("desk", "servers are busy: queue too long", 2),
                 ("desk", "servers are busy: no time", 1),
@@ -44,28 +44,28 @@
         self.assertEqual(found[0].examples, ["r1", "r2"])
         self.assertEqual(found[0].median_held_ms, 3.0)
 
-    def test_only_the_asked_span_counts(self):
+    def test_lines_outside_the_time_range_are_ignored(self):
         since_ms = self.lines[1].at_ms
-        found = losses_of(self.lines, since_ms, since_ms + 600.0)
-        self.assertEqual([loss.count for loss in found], [1, 1])
-        self.assertEqual(losses_of([]), [])
+        found = group_losses(self.lines, since_ms, since_ms + 600.0)
+        self.assertEqual([group.count for group in found], [1, 1])
+        self.assertEqual(group_losses([]), [])
 
-    def test_what_the_logs_left_out_is_told(self):
-        self.assertEqual(suppressed_in(self.lines), 7)
+    def test_suppressed_lines_are_counted(self):
+        self.assertEqual(count_suppressed(self.lines), 7)
 
-    def test_the_command(self):
+    def test_explain_losses_command(self):
         command = [sys.executable, "-m", "tarragonramp.command", "explain-losses"]
         done = subprocess.run(command, input=LOG, capture_output=True, text=True)
         self.assertEqual(done.returncode, 0, done.stderr)
         self.assertIn("queue too long", done.stdout.splitlines()[1])
-        self.assertIn("7 more have no line", done.stderr)
-        span = ["--until", "2026-04-05T16:25:01.500Z", "--output", "json"]
+        self.assertIn("7 more were not logged", done.stderr)
+        time_range = ["--until", "2026-04-05T16:25:01.500Z", "--output", "json"]
         done = subprocess.run(
-            [*command, *span], input=LOG, capture_output=True, text=True
+            [*command, *time_range], input=LOG, capture_output=True, text=True
         )
         (row,) = json.loads(done.stdout)
         self.assertEqual((row["count"], row["examples"]), (1, "r1"))
-        for bad in (["--since", "yesterday"], ["--log", "no-such-file"]):
-            done = subprocess.run([*command, *bad], capture_output=True, text=True)
+        for invalid in (["--since", "yesterday"], ["--log", "no-such-file"]):
+            done = subprocess.run([*command, *invalid], capture_output=True, text=True)
             self.assertEqual(done.returncode, 2)
-            self.assertIn(bad[1], done.stderr)
+            self.assertIn(invalid[1], done.stderr)
--- a/tests/test_storylines.py
+++ b/tests/test_storylines.py
@@ -1,4 +1,4 @@
-"""A request's story out of the logs of several daemons."""
+"""Tests of a request's timeline assembled from the logs of several daemons."""
 
 import os
 import subprocess
@@ -6,7 +6,7 @@
 import tempfile
 import unittest
 
-from tarragonramp.storylines import parse_line, story_of
+from tarragonramp.storylines import parse_line, request_timeline
 
 D1 = """\
 time=2026-04-05T16:25:01.000Z level=info daemon=d1 event=server-lost server=s7 reason=x
@@ -23,15 +23,17 @@
 """
 
 
-class StoryTest(unittest.TestCase):
-    """What belongs to one request's story, and what does not."""
+class RequestTimelineTest(unittest.TestCase):
+    """Selection and order of the log lines that concern one request."""
 
     def setUp(self):
         texts = (D2 + D1).splitlines()
         self.lines = [line for text in texts if (line := parse_line(text))]
 
-    def test_lines_of_several_daemons_stand_in_the_order_of_time(self):
-        events = [(line.daemon, line.event) for line, _ in story_of("r1", self.lines)]
+    def test_lines_of_several_daemons_are_sorted_by_time(self):
+        events = [
+            (line.daemon, line.event) for line, _ in request_timeline("r1", self.lines)
+        ]
         self.assertEqual(
             events,
             [
@@ -42,21 +44,24 @@
             ],
         )
 
-    def test_other_requests_and_other_times_are_left_out(self):
-        story = story_of("r1", self.lines)
-        self.assertNotIn("r2", [line.fields.get("id") for line, _ in story])
-        self.assertNotIn("store-lost", [line.event for line, _ in story])
+    def test_other_requests_and_lines_outside_the_time_range_are_excluded(self):
+        timeline = request_timeline("r1", self.lines)
+        self.assertNotIn("r2", [line.fields.get("id") for line, _ in timeline])
+        self.assertNotIn("store-lost", [line.event for line, _ in timeline])
 
-    def test_each_line_says_why_it_belongs(self):
-        remarks = {line.event: remark for line, remark in story_of("r1", self.lines)}
-        self.assertEqual(remarks["try-failed"], "")
-        self.assertIn("server", remarks["keys-to-move"])
-        self.assertIn("daemon", remarks["server-lost"])
+    def test_each_line_states_its_relevance(self):
+        relevance_by_event = {
+            line.event: relevance
+            for line, relevance in request_timeline("r1", self.lines)
+        }
+        self.assertEqual(relevance_by_event["try-failed"], "")
+        self.assertIn("server", relevance_by_event["keys-to-move"])
+        self.assertIn("daemon", relevance_by_event["server-lost"])
 
-    def test_a_request_that_nobody_names_has_no_story(self):
-        self.assertEqual(story_of("r9", self.lines), [])
+    def test_unknown_request_has_an_empty_timeline(self):
+        self.assertEqual(request_timeline("r9", self.lines), [])
 
-    def test_the_command_reads_files_and_standard_input(self):
+    def test_explain_request_command_reads_files_and_standard_input(self):
         command = [sys.executable, "-m", "tarragonramp.command", "explain-request"]
         with tempfile.TemporaryDirectory() as folder:
             paths = [os.path.join(folder, name) for name in ("d1.log", "d2.log")]
