--- a/src/tarragonramp/documents.py
+++ b/src/tarragonramp/documents.py
@@ -1,4 +1,4 @@
-"""YAML files, read so that nothing in them is taken for something else."""
+"""Strict reading of YAML files: ambiguous or unsafe input is rejected."""
 
 import math
 
@@ -11,22 +11,23 @@
 __all__ = ["MAX_FILE_BYTES", "Document", "Fault", "read_documents", "read_file"]
 
 MAX_FILE_BYTES = 1_048_576
-"""Longest file taken: the platform holds values up to this size."""
+"""Maximum file size; the platform stores values up to this size."""
 
-_PLAIN_TAGS = ("tag:yaml.org,2002:map", "tag:yaml.org,2002:seq")
+_ACCEPTED_COLLECTION_TAGS = ("tag:yaml.org,2002:map", "tag:yaml.org,2002:seq")
 
 MAX_DEPTH = 20
-"""Deepest nesting taken; far above any declaration, far below Python's stack."""
+"""Maximum nesting depth: far above that of any declaration, far below the recursion
+limit of Python."""
 
 
 @attrs.frozen
 class Fault:
-    """One thing that is wrong.
+    """One validation error.
 
     Parameters
     ----------
     path : str
-        Field path, as ``spec.services[0].name``; empty for the whole.
+        Field path such as ``spec.services[0].name``; empty for the document as a whole.
     message : str
     """
 
@@ -34,7 +35,7 @@
     message: str
 
     def __str__(self):
-        """Give path and message."""
+        """Return path and message."""
         return f"{self.path}: {self.message}" if self.path else self.message
 
 
@@ -47,9 +48,9 @@
     source : str
         Name of the file.
     data : object
-        Mappings with text keys, lists and scalars.
+        Mappings with string keys, lists and scalars.
     lines : dict of str to int
-        One-based line of each field path.
+        One-based line number of each field path.
     """
 
     source: str
@@ -57,12 +58,12 @@
     lines: dict[str, int]
 
     def locate(self, fault):
-        """Return a fault as ``file:line: path: message``.
+        """Format a fault as ``file:line: path: message``.
 
         Parameters
         ----------
         fault : Fault
-            A path without a line of its own gets that of the nearest field above.
+            If its path has no line, that of the nearest enclosing field is used.
         """
         path = fault.path
         while path and path not in self.lines:
@@ -70,8 +71,8 @@
         return f"{self.source}:{self.lines.get(path, 1)}: {fault}"
 
 
-class _Refused(yaml.YAMLError):
-    """Valid YAML that is not taken."""
+class _RejectedYamlError(yaml.YAMLError):
+    """Valid YAML that is not accepted here."""
 
     def __init__(self, mark, message):
         super().__init__(message)
@@ -80,22 +81,26 @@
 
 
 class _Loader(yaml.SafeLoader):
-    """Refuses references and deep nesting.
+    """YAML loader that rejects aliases and deep nesting.
 
-    A few lines of nested references expand to gigabytes ("billion laughs"): memory
-    runs out while the file still looks small. No declaration needs them.
+    A few lines of nested aliases expand to gigabytes ("billion laughs") and exhaust the
+    memory although the file is small. No declaration needs aliases.
     """
 
     depth = 0
 
     def compose_node(self, parent, index):
-        """Compose one node."""
+        """Compose one node, unless it is an alias or nested too deeply."""
         event = self.peek_event()
         if isinstance(event, yaml.AliasEvent) or getattr(event, "anchor", None):
-            raise _Refused(event.start_mark, "anchors and aliases are not accepted")
+            raise _RejectedYamlError(
+                event.start_mark, "anchors and aliases are not accepted"
+            )
         self.depth += 1
         if self.depth > MAX_DEPTH:
-            raise _Refused(event.start_mark, f"nested deeper than {MAX_DEPTH} levels")
+            raise _RejectedYamlError(
+                event.start_mark, f"nested deeper than {MAX_DEPTH} levels"
+            )
         try:
             return super().compose_node(parent, index)
         finally:
@@ -134,13 +139,12 @@
     ----------
     text : str
     source : str
-        Name of the file, for messages.
+        Name of the file, used in messages.
 
     Returns
     -------
     documents : Success of tuple of Document, or Failure of DocumentError
-        Duplicate keys, keys that are not text, references and empty input are
-        faults.
+        Duplicate keys, non-string keys, aliases and empty input are faults.
     """
     documents, faults = [], []
     loader = None
@@ -149,7 +153,7 @@
         while loader.check_node():
             node = loader.get_node()
             if not _is_empty(node):
-                documents.append(_document(loader, node, source, faults))
+                documents.append(_construct_document(loader, node, source, faults))
     except yaml.YAMLError as error:
         faults.append(_syntax_fault(error, source))
     finally:
@@ -164,34 +168,38 @@
     return isinstance(node, yaml.ScalarNode) and node.tag.endswith(":null")
 
 
-def _document(loader, node, source, faults):
+def _construct_document(loader, node, source, faults):
+    """Construct a Document from a node; append what is not accepted to ``faults``."""
     lines = {}
 
-    def build(node, path):
+    def construct(node, path):
         lines[path] = node.start_mark.line + 1
-        if isinstance(node, yaml.CollectionNode) and node.tag not in _PLAIN_TAGS:
+        if (
+            isinstance(node, yaml.CollectionNode)
+            and node.tag not in _ACCEPTED_COLLECTION_TAGS
+        ):
             faults.append(f"{source}:{lines[path]}: tag {node.tag!r} is not accepted")
             return None
         if isinstance(node, yaml.SequenceNode):
-            return [build(n, f"{path}[{i}]") for i, n in enumerate(node.value)]
+            return [construct(n, f"{path}[{i}]") for i, n in enumerate(node.value)]
         if isinstance(node, yaml.MappingNode):
-            return build_mapping(node, path)
-        return build_scalar(node, path)
+            return construct_mapping(node, path)
+        return construct_scalar(node, path)
 
-    def build_scalar(node, path):
+    def construct_scalar(node, path):
         try:
             value = loader.construct_object(node)
         except (yaml.YAMLError, ValueError) as error:
             problem = getattr(error, "problem", None) or str(error)
             faults.append(f"{source}:{lines[path]}: {path}: {problem}")
             return None
-        plain = value is None or isinstance(value, (str, bool, int, float))
-        if not plain or (isinstance(value, float) and not math.isfinite(value)):
+        is_plain = value is None or isinstance(value, (str, bool, int, float))
+        if not is_plain or (isinstance(value, float) and not math.isfinite(value)):
             message = f"{node.value!r}: put it in quotes"
             faults.append(f"{source}:{lines[path]}: {path}: {message}")
         return value
 
-    def build_mapping(node, path):
+    def construct_mapping(node, path):
         result = {}
         for key_node, value_node in node.value:
             line = key_node.start_mark.line + 1
@@ -201,16 +209,16 @@
                 continue
             if key in result:
                 faults.append(f"{source}:{line}: {path or 'document'}: {key!r} twice")
-            below = f"{path}.{key}" if path else key
-            result[key] = build(value_node, below)
-            lines[below] = line
+            field_path = f"{path}.{key}" if path else key
+            result[key] = construct(value_node, field_path)
+            lines[field_path] = line
         return result
 
-    return Document(source, build(node, ""), lines)
+    return Document(source, construct(node, ""), lines)
 
 
 def _syntax_fault(error, source):
     mark = getattr(error, "problem_mark", None)
     problem = getattr(error, "problem", None) or str(error)
-    where = f"{source}:{mark.line + 1}" if mark else source
-    return f"{where}: {problem}"
+    location = f"{source}:{mark.line + 1}" if mark else source
+    return f"{location}: {problem}"
--- a/src/tarragonramp/teams.py
+++ b/src/tarragonramp/teams.py
@@ -1,4 +1,4 @@
-"""From a template and a team's parameters to services."""
+"""Expansion of templates with the parameters of a team into services."""
 
 import re
 
@@ -15,18 +15,18 @@
 __all__ = ["expand", "service_faults", "template_faults"]
 
 MIN_RENEWALS_PER_GRANT = 3
-"""Renewals that have to fit into a grant.
+"""Minimum number of renewals that fit into the duration of a grant.
 
-Load: a server or steward that pauses for a moment, or a lost message. Harm
-prevented: keys without an owner after a single late renewal.
+A grant survives a lost message or a short pause of a server or steward; with fewer
+renewals, a single late one would leave keys without an owner.
 """
 
 RESERVED_HEADERS = ("host", "content-length", "transfer-encoding", "connection")
-INNER_PREFIX = "tarragon-"
-CLASS_LIMIT = 20
+INTERNAL_HEADER_PREFIX = "tarragon-"
+MAX_CALLER_CLASSES = 20
 
-_PLACE = re.compile(r"\$\{([^}]*)\}")
-_TYPES = {
+_PLACEHOLDER = re.compile(r"\$\{([^}]*)\}")
+_PYTHON_TYPES = {
     "string": str,
     "integer": int,
     "number": (int, float),
@@ -35,7 +35,7 @@
 
 
 def expand(template, team) -> Result:
-    """Fill a template in with a team's parameters.
+    """Expand a template with a team's parameters.
 
     Parameters
     ----------
@@ -45,19 +45,19 @@
     Returns
     -------
     services : Success of tuple of Service, or Failure of TeamError
-        The error lists all faults.
+        The error lists every fault.
     """
-    values, faults = _values(template, team)
+    values, faults = _parameter_values(template, team)
     if faults:
         return Failure(TeamError(faults))
-    services, faults = _services(template, values)
+    services, faults = _build_services(template, values)
     if not faults:
-        faults = _names_twice(services)
+        faults = _duplicate_faults(services)
     return Failure(TeamError(faults)) if faults else Success(tuple(services))
 
 
 def template_faults(template):
-    """Find what is wrong with a template, whatever its teams will say.
+    """Return the faults of a template that do not depend on a team's parameters.
 
     Parameters
     ----------
@@ -66,12 +66,12 @@
     Returns
     -------
     faults : list of Fault
-        Paths begin below ``spec``.
+        Paths are relative to ``spec``.
     """
     faults = []
     for name, parameter in template.parameters.items():
         given = parameter.default is not None
-        if given and not _is_of(parameter.type, parameter.default):
+        if given and not _has_type(parameter.type, parameter.default):
             faults.append(
                 Fault(
                     f"parameters.{name}.default",
@@ -83,17 +83,18 @@
     defaults = {name: item.default for name, item in template.parameters.items()}
     if faults:
         return faults
-    services, faults = _services(template, defaults)
-    return faults or _names_twice(services)
+    services, faults = _build_services(template, defaults)
+    return faults or _duplicate_faults(services)
 
 
 def service_faults(service, path=""):
-    """Find fields of a service that do not go together.
+    """Return the faults of a service's fields that are inconsistent with each other.
 
     Parameters
     ----------
     service : Service
     path : str, default=""
+        Field path of the service.
 
     Returns
     -------
@@ -124,13 +125,13 @@
                 f"({service.slots_per_server})",
             )
         )
-    message = _divisor_fault(service.divided_by)
+    message = _key_source_fault(service.divided_by)
     if message:
         faults.append(Fault(f"{path}.divided_by.name", message))
     return faults + _class_faults(service.classes, f"{path}.classes")
 
 
-def _values(template, team):
+def _parameter_values(template, team):
     faults = [
         Fault(f"parameters.{name}", f"template {team.template!r} has no such parameter")
         for name in team.parameters
@@ -144,34 +145,43 @@
             faults.append(Fault(path, "required, not given"))
             continue
         value = team.parameters.get(name, parameter.default)
-        if not _is_of(parameter.type, value):
+        if not _has_type(parameter.type, value):
             faults.append(Fault(path, f"{value!r} is not of type {parameter.type}"))
             continue
         values[name] = value
     return values, faults
 
 
-def _is_of(type_name, value):
-    wrong_bool = isinstance(value, bool) and type_name != "boolean"
-    return isinstance(value, _TYPES[type_name]) and not wrong_bool
+def _has_type(type_name, value):
+    is_bool_mismatch = isinstance(value, bool) and type_name != "boolean"
+    return isinstance(value, _PYTHON_TYPES[type_name]) and not is_bool_mismatch
 
 
-def _services(template, values):
-    """Return services and faults; a service that awaits a value is left out."""
+def _build_services(template, values):
+    """Build the services of a template.
+
+    A service that uses a parameter without a value is skipped; only the names of its
+    fields are checked.
+
+    Returns
+    -------
+    services : list of Service
+    faults : list of Fault
+    """
     services, faults = [], []
     for index, raw in enumerate(template.services):
         path = f"services[{index}]"
-        unknown = sorted(set(_places(raw)) - set(template.parameters))
+        unknown = sorted(set(_placeholder_names(raw)) - set(template.parameters))
         if unknown:
             faults.extend(Fault(path, f"no parameter named {n!r}") for n in unknown)
             continue
-        if any(values.get(name) is None for name in _places(raw)):
+        if any(values.get(name) is None for name in _placeholder_names(raw)):
             fields = {field.name for field in attrs.fields(Service)}
             faults.extend(
                 Fault(f"{path}.{key}", "no such field") for key in set(raw) - fields
             )
             continue
-        result = structure(_fill(raw, values), Service, path)
+        result = structure(_substitute(raw, values), Service, path)
         if not is_successful(result):
             faults.extend(result.failure())
             continue
@@ -180,7 +190,7 @@
     return services, faults
 
 
-def _names_twice(services):
+def _duplicate_faults(services):
     faults = []
     for index, service in enumerate(services):
         earlier = services[:index]
@@ -198,8 +208,8 @@
     return faults
 
 
-def _divisor_fault(divisor):
-    """Return what is wrong with a divisor's name; empty if nothing is."""
+def _key_source_fault(divisor):
+    """Return what is wrong with the name in a key source; empty if it is valid."""
     name = divisor.name
     if divisor.source == "none":
         return "only together with a source" if name else ""
@@ -209,18 +219,18 @@
     if not name:
         return "missing"
     if divisor.source == "header":
-        inner = name.lower().startswith(INNER_PREFIX)
+        is_internal = name.lower().startswith(INTERNAL_HEADER_PREFIX)
         if not checks.header_name(name):
             return f"{name!r}: not the name of a header"
-        if inner or name.lower() in RESERVED_HEADERS:
+        if is_internal or name.lower() in RESERVED_HEADERS:
             return f"{name!r}: this header is not the callers' to set"
     return ""
 
 
 def _class_faults(classes, path):
     faults = []
-    if len(classes) > CLASS_LIMIT:
-        faults.append(Fault(path, f"more than {CLASS_LIMIT} caller classes"))
+    if len(classes) > MAX_CALLER_CLASSES:
+        faults.append(Fault(path, f"more than {MAX_CALLER_CLASSES} caller classes"))
     for index, item in enumerate(classes):
         if not item.methods:
             faults.append(Fault(f"{path}[{index}].methods", "expected at least one"))
@@ -236,26 +246,32 @@
 
 
 def _shadows(earlier, later):
+    """Return whether every request of a class already matches an earlier class."""
     same_methods = set(later.methods) <= set(earlier.methods)
     return same_methods and later.path_prefix.startswith(earlier.path_prefix)
 
 
-def _places(raw):
+def _placeholder_names(raw):
+    """Return the names of all ``${name}`` placeholders in nested data."""
     if isinstance(raw, dict):
         raw = list(raw.values())
     if isinstance(raw, list):
-        return [name for item in raw for name in _places(item)]
-    return _PLACE.findall(raw) if isinstance(raw, str) else []
+        return [name for item in raw for name in _placeholder_names(item)]
+    return _PLACEHOLDER.findall(raw) if isinstance(raw, str) else []
 
 
-def _fill(raw, values):
+def _substitute(raw, values):
+    """Replace placeholders in nested data.
+
+    A text that consists of one placeholder becomes the value itself and keeps its type.
+    """
     if isinstance(raw, dict):
-        return {key: _fill(item, values) for key, item in raw.items()}
+        return {key: _substitute(item, values) for key, item in raw.items()}
     if isinstance(raw, list):
-        return [_fill(item, values) for item in raw]
+        return [_substitute(item, values) for item in raw]
     if not isinstance(raw, str):
         return raw
-    whole = _PLACE.fullmatch(raw)
+    whole = _PLACEHOLDER.fullmatch(raw)
     if whole:
         return values[whole.group(1)]
-    return _PLACE.sub(lambda match: str(values[match.group(1)]), raw)
+    return _PLACEHOLDER.sub(lambda match: str(values[match.group(1)]), raw)
