--- a/src/tarragonramp/checks.py
+++ b/src/tarragonramp/checks.py
@@ -1,4 +1,4 @@
-"""Checks of single values, for the fields of attrs classes."""
+"""Validators for the fields of attrs classes."""
 
 import re
 
@@ -23,7 +23,7 @@
 
 
 def name(instance, attribute, value):
-    """Take names that are also safe in the paths of the platform's API."""
+    """Accept names that are also safe in paths of the platform's API."""
     if not _NAME.match(value):
         raise ValueError(
             f"{value!r}: lower-case letters, digits and '-' only, at most 63"
@@ -31,7 +31,7 @@
 
 
 def address(instance, attribute, value):
-    """Take an IP number with a port."""
+    """Accept an IPv4 address with a port."""
     match = _ADDRESS.match(value)
     numbers = [int(item) for item in match.groups()] if match else []
     if not match or max(numbers[:4]) > 255 or not 0 < numbers[4] <= 65535:
@@ -39,25 +39,25 @@
 
 
 def address_or_empty(instance, attribute, value):
-    """Take an IP number with a port, or nothing."""
+    """Accept an IPv4 address with a port, or an empty string."""
     if value:
         address(instance, attribute, value)
 
 
 def header_name(value):
-    """Tell whether a text can be the name of an HTTP header."""
+    """Return whether a text is a valid name of an HTTP header."""
     return bool(_HEADER.match(value))
 
 
 def path_prefix(instance, attribute, value):
-    """Take a plain absolute path."""
+    """Accept an absolute path without dot segments or characters that need escaping."""
     plain = value.startswith("/") and _PREFIX.match(value)
     if not plain or "/./" in f"{value}/" or "/../" in f"{value}/":
         raise ValueError(f"{value!r}: expected an absolute path, as /claims")
 
 
 def between(low, high):
-    """Return a check that takes numbers from low to high, both included."""
+    """Return a validator that accepts numbers from low to high, both included."""
 
     def check(instance, attribute, value):
         if not low <= value <= high:
@@ -67,7 +67,7 @@
 
 
 def one_of(*allowed):
-    """Return a check that takes only the listed values."""
+    """Return a validator that accepts only the listed values."""
 
     def check(instance, attribute, value):
         if value not in allowed:
@@ -77,18 +77,18 @@
     return check
 
 
-def each(check_one):
-    """Return a check that puts every item of a sequence through another one."""
+def each(check_item):
+    """Return a validator that applies another one to each item of a sequence."""
 
     def check(instance, attribute, value):
         for item in value:
-            check_one(instance, attribute, item)
+            check_item(instance, attribute, item)
 
     return check
 
 
 def values_between(low, high):
-    """Return a check of the values of a mapping of names."""
+    """Return a validator of a mapping from names to numbers from low to high."""
     in_range = between(low, high)
 
     def check(instance, attribute, value):
--- a/src/tarragonramp/credentials.py
+++ b/src/tarragonramp/credentials.py
@@ -1,4 +1,4 @@
-"""Shared secrets that the operator and peer ports ask for."""
+"""Shared secrets for authentication on the operator and peer ports."""
 
 import hmac
 
@@ -13,52 +13,53 @@
 
 @attrs.frozen(repr=False)
 class Secrets:
-    """What a port accepts, and what its callers show.
+    """Secrets that a port accepts and its callers present.
 
     Parameters
     ----------
     accepted : tuple of str
-        The first one is shown to others; a second one may stand beside it while a
-        secret is replaced. None at all leaves the port open.
+        The first one is presented to others; there may be a second one while a secret
+        is being rotated. Without any, the port accepts every call.
     """
 
     accepted: tuple[str, ...] = ()
 
     @classmethod
     def from_text(cls, text):
-        """Make them of one secret a line."""
+        """Parse a text with one secret per line."""
         return cls(tuple(line.strip() for line in text.splitlines() if line.strip()))
 
     @property
     def authorization(self):
-        """Value of the header ``Authorization``; empty without a secret."""
+        """Value of the ``Authorization`` header; empty without a secret."""
         return f"{SCHEME}{self.accepted[0]}" if self.accepted else ""
 
     @property
     def headers(self):
-        """Headers that show the secret."""
+        """HTTP headers that present the secret."""
         return [("Authorization", self.authorization)] if self.accepted else []
 
     @property
     def metadata(self):
-        """gRPC metadata that shows the secret."""
+        """gRPC metadata that presents the secret."""
         return [(METADATA_KEY, self.authorization)] if self.accepted else []
 
     def admits(self, authorization):
-        """Tell whether a caller has shown an accepted secret.
+        """Return whether a caller has presented an accepted secret.
 
-        Every secret is compared in full, in constant time: the time of a refusal
-        must not tell how much of a guess was right.
+        Each accepted secret is compared in constant time, and none is skipped after a
+        match, so that response times do not reveal how much of a guess was right.
 
         Parameters
         ----------
         authorization : str or None
+            Value of the caller's ``Authorization`` header.
         """
         if not self.accepted:
             return True
-        shown = (authorization or "").encode()
+        presented = (authorization or "").encode()
         matches = [
-            hmac.compare_digest(shown, f"{SCHEME}{secret}".encode())
+            hmac.compare_digest(presented, f"{SCHEME}{secret}".encode())
             for secret in self.accepted
         ]
         return any(matches)
--- a/src/tarragonramp/errors.py
+++ b/src/tarragonramp/errors.py
@@ -1,6 +1,6 @@
-"""The errors of every layer, as one tree.
+"""Exception hierarchy of all layers.
 
-Each layer raises or returns errors of its own branch and converts those of the
+Each layer raises or returns the exceptions of its own branch and converts those of the
 layer below it.
 """
 
@@ -34,15 +34,15 @@
 
 
 class TarragonError(Exception):
-    """Base of all errors of this project."""
+    """Base class of all exceptions of this package."""
 
 
 class AddressError(TarragonError):
-    """An address of this daemon that cannot be bound."""
+    """The daemon cannot bind one of its addresses."""
 
 
 class FaultsError(TarragonError):
-    """Input that cannot be used.
+    """Input is invalid.
 
     Parameters
     ----------
@@ -56,70 +56,70 @@
 
 
 class DocumentError(FaultsError):
-    """A YAML file that cannot be read."""
+    """A YAML file cannot be read or is invalid."""
 
 
 class SettingsError(FaultsError):
-    """Settings that cannot be used."""
+    """Settings are invalid."""
 
 
 class TeamError(FaultsError):
-    """A template or team that cannot be expanded into services."""
+    """A template or team cannot be expanded into services."""
 
 
 class ExchangeError(TarragonError):
-    """An HTTP exchange without a whole answer."""
+    """An HTTP exchange did not end with a complete response."""
 
 
 class NotSentError(ExchangeError):
-    """No byte of the request left this process: the request did not run."""
+    """No byte of the request was sent, so the request was not executed."""
 
 
 class NoConnectionError(NotSentError):
-    """No connection was open, and none was to be opened."""
+    """No connection was open, and opening one was not allowed."""
 
 
 class UnansweredError(ExchangeError):
-    """Some of the request may have left and no whole answer came back.
+    """The request may have been sent, but no complete response was received.
 
-    Whether the request ran is unknown.
+    Whether the request was executed is unknown.
     """
 
 
 class OvertakenGrantError(ExchangeError):
-    """A server refused a grant: it has seen a higher fencing token."""
+    """A server rejected a grant because it has seen a higher fencing token."""
 
 
 class WrongServerError(ExchangeError):
-    """Another server has the address that the message went to."""
+    """The address that a message was sent to now belongs to another server."""
 
 
 class AbandonedError(UnansweredError):
-    """The exchange was cancelled because nobody waits for its answer any more."""
+    """The exchange was cancelled because nothing waits for its response any more."""
 
 
 class PlatformError(TarragonError):
-    """The platform's object API did not do what was asked."""
+    """A call of the platform's object API failed."""
 
 
 class PlatformUnreachableError(PlatformError):
-    """No answer, so a write may or may not have taken effect."""
+    """The platform did not answer; a write may or may not have taken effect."""
 
 
 class PlatformNotSentError(PlatformUnreachableError):
-    """No byte of the call left this process: a write did not run."""
+    """No byte of the call was sent, so a write was not executed."""
 
 
 class PlatformBusyError(PlatformNotSentError):
-    """The platform turned the call away: nothing was done."""
+    """The platform rejected the call because it is busy; nothing was changed."""
 
 
 class HistoryGoneError(PlatformError):
-    """The changes since a version are no longer known; read everything anew."""
+    """The changes since a version are no longer available; the full state is needed."""
 
 
 class EntryError(PlatformError):
-    """An object that another writer made and that can't be understood."""
+    """An object written by another writer cannot be parsed."""
 
 
 class NotFoundError(PlatformError):
@@ -128,39 +128,39 @@
 
 @attrs.define(eq=False)
 class ConflictError(PlatformError):
-    """A conditional update lost against another one.
+    """A conditional update was rejected because the object has another version.
 
     Parameters
     ----------
     expected_version : int
         The version that the update was conditional on.
     current : tarragonramp.model.Stored or None
-        What the platform holds now.
+        The object as the platform stores it now.
     """
 
     expected_version: int
     current: object
 
     def __str__(self):
-        """Name both versions."""
+        """Return a message with both versions."""
         now = 0 if self.current is None else self.current.version
         return f"expected version {self.expected_version}, platform holds {now}"
 
 
 class OvertakenError(ConflictError):
-    """A conflict after a lost answer.
+    """A conditional update conflicted after an attempt whose response was lost.
 
-    The own update may have been in force before the other one replaced it.
+    The update may have been in force before another one replaced it.
     """
 
     def __str__(self):
-        """Name both versions, and the doubt."""
+        """Return a message with both versions and the uncertainty."""
         return f"{super().__str__()}; this change may have been in force before it"
 
 
 @attrs.define(eq=False)
 class RequestError(TarragonError):
-    """A caller's request that gets a refusal in place of an answer.
+    """A caller's request is refused or failed by the router itself.
 
     Parameters
     ----------
@@ -169,11 +169,11 @@
     outcome : str
         ``"not-run"`` or ``"unknown"``.
     reason : str
-        One short clause.
+        Short description of the cause.
     retry_after_s : float or None
-        When the caller should come back.
+        Delay after which the caller may retry.
     inputs : dict
-        What decided it, for the log.
+        Values that led to the decision, for the log.
     """
 
     status: int
@@ -183,5 +183,5 @@
     inputs: dict = attrs.Factory(dict)
 
     def __str__(self):
-        """Give outcome and reason."""
+        """Return outcome and reason."""
         return f"{self.outcome}: {self.reason}"
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The operators' page says what the code does."""
+"""Tests that the operators' manual agrees with the code."""
 
 import re
 import unittest
@@ -13,7 +13,7 @@
 
 
 def rows(first_column):
-    """Return cells of the table rows whose first column matches a pattern."""
+    """Return the cells of all table rows whose first column matches a pattern."""
     with open(PAGE, encoding="utf-8") as stream:
         lines = [line.strip().strip("|") for line in stream if line.startswith("|")]
     cells = [[cell.strip() for cell in line.split(" | ")] for line in lines]
@@ -21,7 +21,7 @@
 
 
 def settings_fields(cls=DaemonSettings, path=""):
-    """Yield path and attribute of every scalar setting."""
+    """Yield the field path and the attrs attribute of each scalar setting."""
     for field in attrs.fields(cls):
         if attrs.has(field.type):
             yield from settings_fields(field.type, f"{path}{field.name}.")
@@ -30,9 +30,9 @@
 
 
 class OperatorsPageTest(unittest.TestCase):
-    """Tables of the page against the code."""
+    """Tables of the manual compared with settings, commands and exit codes."""
 
-    def test_every_setting_is_listed_with_its_default(self):
+    def test_each_setting_is_listed_with_its_default(self):
         listed = {row[0].strip("`"): row[1:] for row in rows("`[a-z_.]+`")}
         for path, field in settings_fields():
             self.assertIn(path, listed)
@@ -44,11 +44,11 @@
             else:
                 self.assertEqual(default, str(field.default).lower(), path)
 
-    def test_nothing_is_listed_twice(self):
+    def test_no_setting_is_listed_twice(self):
         listed = [row[0] for row in rows(r"`[a-z_]+\.[a-z_]+`")]
         self.assertEqual(len(listed), len(set(listed)))
 
-    def test_ranges_are_those_that_are_checked(self):
+    def test_listed_ranges_match_the_validators(self):
         listed = {row[0].strip("`"): row[1:] for row in rows("`[a-z_.]+`")}
         checked = 0
         for path, field in settings_fields():
