--- a/src/tarragonramp/adapters/peers.py
+++ b/src/tarragonramp/adapters/peers.py
@@ -197,7 +197,7 @@
     def intercept_service(self, continuation, handler_call_details):
         """Continue with the call if its secret is valid, else reject it."""
         call_metadata = dict(handler_call_details.invocation_metadata)
-        if self._secrets.admits(call_metadata.get(METADATA_KEY)):
+        if self._secrets.accepts(call_metadata.get(METADATA_KEY)):
             return continuation(handler_call_details)
         return self._refusal
 
--- a/src/tarragonramp/changes.py
+++ b/src/tarragonramp/changes.py
@@ -5,7 +5,7 @@
 from returns.pipeline import is_successful
 
 from .client import EXIT_CONFLICT, EXIT_INVALID, CommandError
-from .console import difference
+from .console import spec_diff
 from .declarations import DECLARED_KINDS, SYSTEM_FIELDS, read_declarations
 from .documents import Fault
 from .model import KIND_FAILURE_DOMAIN, KIND_TEAM, KIND_TEMPLATE, VIEWED_KINDS
@@ -136,7 +136,7 @@
 def _conflict_error(message, declaration, current):
     """Return the error of a lost race, with a diff of both versions."""
     spec = declared_spec(current["spec"]) if current else {}
-    text = difference(spec, declaration.spec, declaration.label)
+    text = spec_diff(spec, declaration.spec, declaration.label)
     return CommandError(EXIT_CONFLICT, f"{message}\n{text}")
 
 
--- a/src/tarragonramp/roles/control.py
+++ b/src/tarragonramp/roles/control.py
@@ -72,7 +72,7 @@
         return [page]
 
     def _peer(self, path, environ, start_response):
-        if not self.peer_secrets.admits(environ.get("HTTP_AUTHORIZATION")):
+        if not self.peer_secrets.accepts(environ.get("HTTP_AUTHORIZATION")):
             return json_reply(start_response, 401, {"error": "peer secret is wrong"})
         body = environ["wsgi.input"].read()
         if path == IN_FORCE_TARGET:
--- a/src/tarragonramp/roles/operators.py
+++ b/src/tarragonramp/roles/operators.py
@@ -81,7 +81,7 @@
 
     def __call__(self, environ, start_response):
         """Handle one call of an operator."""
-        if not self.secrets.admits(environ.get("HTTP_AUTHORIZATION")):
+        if not self.secrets.accepts(environ.get("HTTP_AUTHORIZATION")):
             self.trail.record_unauthenticated(
                 _change(environ, environ["PATH_INFO"][:100], "", 0)
             )
