--- a/src/tarragonramp/balancing.py
+++ b/src/tarragonramp/balancing.py
@@ -1,7 +1,7 @@
-"""Which backend server a request goes to, and whether it is sent at all.
+"""Selects the backend server that a request is sent to, or rejects the request.
 
-Pure decisions on what one daemon has seen: its own requests under way, and what
-servers said of their load with their latest answers. Nothing here sends or waits.
+Decisions without I/O. They are based on what this daemon has observed: its own requests
+in flight, and the load that servers report with their responses.
 """
 
 import math
@@ -9,7 +9,7 @@
 
 import attrs
 
-from .sightings import ServerSeen
+from .sightings import ServerStats
 
 __all__ = [
     "Chosen",
@@ -18,41 +18,45 @@
     "Wanted",
 ]
 
-ROUTE_WEIGHT = 0.05
-"""Weight of the newest answer in a route's mean, which all its servers share."""
+ROUTE_EWMA_WEIGHT = 0.05
+"""Weight of the newest response in a route's moving average of processing time, which
+all its servers share."""
 
-FAILURE_MS = 1000.0
-"""How long a server is passed over after a connection failed, while others are there.
-Load: a server that is gone. Harm prevented: each request trying it first. A second
-finds one that is back soon enough."""
+CONNECT_BACKOFF_MS = 1000.0
+"""How long a server is skipped after a failed connection attempt, while other servers
+are available. Without this, each request would try a stopped server first. A server
+that restarts is used again within a second."""
 
-AWAY_COST = 0.35
-"""What a server of another failure domain costs, as part of the request's usual time.
-Load: calm times. Harm prevented: bytes between failure domains, which are paid for.
-A third of the usual time keeps work at home until home has about one more waiting."""
+CROSS_DOMAIN_COST = 0.35
+"""Extra cost of a server in another failure domain, as a fraction of the request's
+usual processing time. Traffic between failure domains is paid for. At a third of the
+usual time, requests stay in the own failure domain until it has about one more request
+waiting than the others."""
 
-LATE_SHARE = 0.95
-"""Part of the time left that the expected answer may take. Load: bursts. Harm
-prevented: work for callers that give up before it is done."""
+DEADLINE_SHARE = 0.95
+"""Fraction of the remaining time that the expected response may take. During bursts,
+this keeps servers from working on requests whose callers time out first."""
 
-MOST_KEPT = 0.4
-"""Most of the room for waiting that is kept for the most urgent requests of a service:
-as much as they take of its work, up to this part. Load: more requests than the servers
-can take. Harm prevented: claims refused because lookups came first; and lookups refused
-for the sake of claims that hardly ever come."""
+MAX_RESERVED_SHARE = 0.4
+"""Upper limit on the fraction of a service's waiting room that is reserved for its most
+urgent requests. Up to this limit, the reserved fraction equals their share of the
+service's work. Under overload, claims would otherwise be rejected because lookups
+arrived first; a fixed reservation would reject lookups in favour of claims that hardly
+ever arrive."""
 
-SHARE_WEIGHT = 0.02
-"""Weight of the newest request in the share of urgent work: some fifty requests move
-it, about a second of one daemon's at a busy service."""
+URGENT_SHARE_EWMA_WEIGHT = 0.02
+"""Weight of the newest request in the moving average of the share of urgent work. About
+fifty requests move it, which is about a second of one daemon's traffic for a busy
+service."""
 
-UNSEEN_SPEED = 0.25
-"""How long work is taken to last at an idle server of the own failure domain that was
-never asked, as a factor. Load: servers join while the others are quick and not busy.
-Harm prevented: nobody ever asking the new ones. Below the quickest of a service."""
+UNTRIED_COST_FACTOR = 0.25
+"""Cost factor of an idle server of the own failure domain that this daemon has never
+used. Servers that join while the others are fast and not busy would otherwise never be
+selected. It is lower than the factor of the fastest server of a service."""
 
-MIN_RETRY_S = 0.05
-MAX_RETRY_S = 5.0
-FIRST_WORK_MS = 150.0
+MIN_RETRY_AFTER_S = 0.05
+MAX_RETRY_AFTER_S = 5.0
+INITIAL_WORK_MS = 150.0
 
 
 @attrs.frozen
@@ -62,13 +66,13 @@
     Parameters
     ----------
     route : str
-        Requests of one route are alike in how long they take.
+        Requests of one route are assumed to take similar processing time.
     left_ms : float
-        Until the caller or the route gives up.
+        Time until the deadline of the caller or of the route.
     target_left_ms : float
-        Until the answer loses most of its value; may be past.
+        Time until the response loses most of its value; negative once that has passed.
     urgent : bool
-        Whether no other route of the service is more urgent.
+        Whether no other route of the service has a higher priority.
     """
 
     route: str
@@ -79,17 +83,17 @@
 
 @attrs.frozen
 class Chosen:
-    """The server that a request goes to.
+    """The server that was selected for a request.
 
     Parameters
     ----------
     server : BackendServer
     route : str
-        Of the request.
+        Route of the request.
     expected_ms : float
-        Until its answer, waiting included.
+        Expected time until the response, including the time in the server's queue.
     wait_ms : float
-        Until it is expected to begin.
+        Expected time in the server's queue.
     """
 
     server: object
@@ -100,14 +104,14 @@
 
 @attrs.frozen
 class Refused:
-    """Why no server gets a request, and when to come back.
+    """Why no server was selected, and when the caller should retry.
 
     Parameters
     ----------
     reason : str
     retry_after_s : float
     inputs : dict
-        What decided it, for the log.
+        Values that led to the decision, for the log.
     """
 
     reason: str
@@ -116,253 +120,265 @@
 
 
 @attrs.define(eq=False)
-class _Asked:
-    """Work of the latest requests for a service, in ms a request."""
+class _DemandMeans:
+    """Moving averages of the work that one request brings to a service, in ms."""
 
     all_ms: float
     urgent_ms: float = 0.0
 
     def note(self, work_ms, urgent):
-        """Take in a request."""
-        self.urgent_ms += SHARE_WEIGHT * (work_ms * urgent - self.urgent_ms)
-        self.all_ms += SHARE_WEIGHT * (work_ms - self.all_ms)
+        """Record a request."""
+        self.urgent_ms += URGENT_SHARE_EWMA_WEIGHT * (work_ms * urgent - self.urgent_ms)
+        self.all_ms += URGENT_SHARE_EWMA_WEIGHT * (work_ms - self.all_ms)
 
     @property
     def urgent_share(self):
-        """Which part of the work the most urgent requests are."""
+        """Fraction of the work that belongs to the most urgent requests."""
         return self.urgent_ms / self.all_ms if self.all_ms else 0.0
 
 
 @attrs.define(eq=False, repr=False)
 class Loads:
-    """What one daemon knows of the load of all servers.
+    """Tracks the load of all servers as one daemon sees it, and selects one of them.
 
     Parameters
     ----------
     failure_domain : str
-        The daemon's own.
+        Failure domain of this daemon.
     rng : random.Random
     """
 
     failure_domain: str
     rng: random.Random = attrs.Factory(random.Random)
-    _seen: dict = attrs.Factory(dict)
+    _stats: dict = attrs.Factory(dict)
     _work_ms: dict = attrs.Factory(dict)
-    _asked: dict = attrs.Factory(dict)
+    _demand: dict = attrs.Factory(dict)
 
-    def choose(self, servers, wanted, now_ms):
-        """Choose the server from which the answer should come first, or none.
+    def choose(self, servers, requirements, now_ms):
+        """Select the server with the lowest expected response time, or none.
 
-        Load: servers whose speed differs two or three times, and that slow down for
-        moments. Harm prevented: a queue before a slow server beside idle quick ones;
-        and requests queued where they cannot be answered in time.
+        Servers differ in speed by a factor of two or three and slow down temporarily.
+        Comparing expected response times avoids a queue at a slow server while faster
+        ones are idle. Requests that cannot be answered in time are rejected instead of
+        queued.
 
         Parameters
         ----------
         servers : sequence of BackendServer
-        wanted : Wanted
+        requirements : Wanted
         now_ms : float
 
         Returns
         -------
-        choice : Chosen or Refused
+        selection : Chosen or Refused
         """
-        usable = [s for s in servers if not self.is_passed_over(s.name, now_ms)]
+        usable = [s for s in servers if not self.is_backing_off(s.name, now_ms)]
         usable = usable or list(servers)
         if not usable:
             return Refused("no server", 0.5)
-        work_ms = self.work_ms(wanted.route)
-        best, best_cost, best_ms = None, math.inf, math.inf
+        work_ms = self.work_ms(requirements.route)
+        best, lowest_cost, best_expected_ms = None, math.inf, math.inf
         for server in usable:
-            expected_ms = self.expected_ms(server, wanted.route, now_ms)
+            expected_ms = self.expected_ms(server, requirements.route, now_ms)
             cost = expected_ms * (1.0 + 0.1 * self.rng.random())
             if server.failure_domain != self.failure_domain:
-                cost += AWAY_COST * work_ms
-            elif not self._of(server.name).is_asked and expected_ms <= work_ms:
-                cost *= UNSEEN_SPEED
-            if cost < best_cost:
-                best, best_cost, best_ms = server, cost, expected_ms
-        wait_ms = self.wait_ms(best, wanted.route, now_ms)
-        kept_share = self._note_asked(best.service, wanted, work_ms)
-        objection = self._objection(wanted, best, best_ms, kept_share, now_ms)
-        if objection:
+                cost += CROSS_DOMAIN_COST * work_ms
+            elif (
+                not self._stats_of(server.name).was_selected and expected_ms <= work_ms
+            ):
+                cost *= UNTRIED_COST_FACTOR
+            if cost < lowest_cost:
+                best, lowest_cost, best_expected_ms = server, cost, expected_ms
+        wait_ms = self.wait_ms(best, requirements.route, now_ms)
+        kept_share = self._note_demand(best.service, requirements, work_ms)
+        rule = self._rejection_rule(
+            requirements, best, best_expected_ms, kept_share, now_ms
+        )
+        if rule:
             retry_after_s = self._retry_after_s(wait_ms, work_ms)
             inputs = {
-                "rule": objection,
+                "rule": rule,
                 "least_busy": best.name,
                 "wait_ms": round(wait_ms),
-                "expected_ms": round(best_ms),
-                "target_left_ms": round(wanted.target_left_ms),
+                "expected_ms": round(best_expected_ms),
+                "target_left_ms": round(requirements.target_left_ms),
                 "kept_share": round(kept_share, 2),
                 "servers": len(usable),
             }
             return Refused("servers are busy", retry_after_s, inputs)
-        return Chosen(best, wanted.route, best_ms, wait_ms)
+        return Chosen(best, requirements.route, best_expected_ms, wait_ms)
 
     def expected_ms(self, server, route, now_ms):
-        """Return how long an answer from a server should take, waiting included."""
-        seen = self._of(server.name)
-        work_ms = self.work_ms(route) * seen.speed_now(now_ms)
-        failures = min(0.9, seen.failure_share(now_ms))
+        """Return the expected response time of a server, including its queue."""
+        stats = self._stats_of(server.name)
+        work_ms = self.work_ms(route) * stats.current_slowdown(now_ms)
+        failures = min(0.9, stats.failure_rate(now_ms))
         wait_ms = self.wait_ms(server, route, now_ms)
         return (work_ms + wait_ms) / (1.0 - failures)
 
     def wait_ms(self, server, route, now_ms):
         """Return how long a request would wait for one of a server's slots.
 
-        As if all that is in hand there were of its own route.
+        All requests in flight at the server are assumed to be of the request's route.
         """
-        work_ms = self.work_ms(route) * self._of(server.name).speed_now(now_ms)
-        return self._excess(server, work_ms, now_ms) * work_ms / server.slots
+        work_ms = self.work_ms(route) * self._stats_of(server.name).current_slowdown(
+            now_ms
+        )
+        return self._queue_excess(server, work_ms, now_ms) * work_ms / server.slots
 
-    def _excess(self, server, work_ms, now_ms):
-        """Return how many requests have to end before one more begins."""
-        seen = self._of(server.name)
-        in_hand = seen.in_flight + seen.others(work_ms, now_ms)
-        return max(0.0, in_hand - server.slots + 1.0)
+    def _queue_excess(self, server, work_ms, now_ms):
+        """Return how many requests have to finish before one more can start."""
+        stats = self._stats_of(server.name)
+        n_in_flight = stats.in_flight + stats.estimate_peer_in_flight(work_ms, now_ms)
+        return max(0.0, n_in_flight - server.slots + 1.0)
 
     def in_flight(self, name):
-        """Return how many requests of this daemon a server has."""
-        return self._of(name).in_flight
+        """Return the number of this daemon's requests in flight at a server."""
+        return self._stats_of(name).in_flight
 
     def told_in_flight(self, name, now_ms):
-        """Return the other daemons' requests at a server; None if that is old."""
-        return self._of(name).told_lately(now_ms)
+        """Return the other daemons' requests at a server; None if not known lately."""
+        return self._stats_of(name).recent_peer_count(now_ms)
 
     def speed(self, name, now_ms):
-        """Return how long work takes at a server lately, as a factor; 1 as usual."""
-        return self._of(name).usual_speed(now_ms)
+        """Return the factor by which a server was slower lately; 1 is usual."""
+        return self._stats_of(name).typical_slowdown(now_ms)
 
-    def is_passed_over(self, name, now_ms):
-        """Tell whether a server failed a moment ago."""
-        return self._of(name).passed_over_until_ms > now_ms
+    def is_backing_off(self, name, now_ms):
+        """Tell whether a connection attempt to a server failed a moment ago."""
+        return self._stats_of(name).backoff_until_ms > now_ms
 
     def work_ms(self, route):
-        """Return how long a server of usual speed works on a request of a route."""
-        return self._work_ms.get(route, FIRST_WORK_MS)
+        """Return a route's processing time at a server of usual speed."""
+        return self._work_ms.get(route, INITIAL_WORK_MS)
 
-    def sent(self, chosen):
-        """Take in that a request was sent to the server that was chosen."""
-        seen = self._of(chosen.server.name)
-        seen.in_flight += 1
-        seen.is_asked = True
+    def sent(self, selection):
+        """Record that a request was sent to the selected server."""
+        stats = self._stats_of(selection.server.name)
+        stats.in_flight += 1
+        stats.was_selected = True
 
-    def answered(self, chosen, took_ms, report, now_ms):
-        """Take in an answer of a request that ran.
+    def answered(self, selection, took_ms, report, now_ms):
+        """Record the response to a request that was executed.
 
         Parameters
         ----------
-        chosen : Chosen
-            As it was chosen.
+        selection : Chosen
+            The result of :meth:`choose` for this request.
         took_ms : float
         report : LoadReport or None
         now_ms : float
         """
-        route = chosen.route
-        seen = self._done(chosen, report, now_ms)
-        speed = seen.usual_speed(now_ms)
-        # Waiting and work can't be told apart, so both are taken to have been off by
-        # the same factor.
-        expected_ms = max(1.0, chosen.wait_ms + self.work_ms(route) * speed)
-        seen.note_answer(took_ms / expected_ms, now_ms)
-        if not chosen.wait_ms:
+        route = selection.route
+        stats = self._record_end(selection, report, now_ms)
+        speed = stats.typical_slowdown(now_ms)
+        # Queueing and processing time can't be measured separately, so the error of
+        # the estimate is attributed to both in proportion.
+        expected_ms = max(1.0, selection.wait_ms + self.work_ms(route) * speed)
+        stats.note_answer(took_ms / expected_ms, now_ms)
+        if not selection.wait_ms:
             usual_ms = self._work_ms.get(route, took_ms)
             own_ms = took_ms / speed
-            self._work_ms[route] = usual_ms + ROUTE_WEIGHT * (own_ms - usual_ms)
+            self._work_ms[route] = usual_ms + ROUTE_EWMA_WEIGHT * (own_ms - usual_ms)
 
-    def shed(self, chosen, report, now_ms):
-        """Take in that a server refused a request without running it."""
-        seen = self._done(chosen, report, now_ms)
-        seen.note_failure(now_ms)
+    def shed(self, selection, report, now_ms):
+        """Record that a server rejected a request without executing it."""
+        stats = self._record_end(selection, report, now_ms)
+        stats.note_failure(now_ms)
 
-    def failed(self, chosen, now_ms, at_connect=False):
-        """Take in that an exchange failed; whether not even a connection came up."""
-        seen = self._done(chosen, None, now_ms)
-        seen.note_failure(now_ms)
+    def failed(self, selection, now_ms, at_connect=False):
+        """Record a failed exchange; ``at_connect`` if no connection was established."""
+        stats = self._record_end(selection, None, now_ms)
+        stats.note_failure(now_ms)
         if at_connect:
-            seen.passed_over_until_ms = now_ms + FAILURE_MS
+            stats.backoff_until_ms = now_ms + CONNECT_BACKOFF_MS
 
-    def cancelled(self, chosen):
-        """Take in that nobody waits for an answer any more."""
-        self._done(chosen, None, 0.0)
+    def cancelled(self, selection):
+        """Record that a request was cancelled because its caller no longer waits."""
+        self._record_end(selection, None, 0.0)
 
     def in_hand(self):
-        """Return this daemon's requests under way by server, for the other daemons."""
-        counts = {name: seen.in_flight for name, seen in self._seen.items()}
+        """Return this daemon's requests in flight by server, for the other daemons."""
+        counts = {name: stats.in_flight for name, stats in self._stats.items()}
         return {name: count for name, count in counts.items() if count}
 
     def take_told(self, totals, now_ms):
-        """Take in the other daemons' requests under way.
+        """Record the other daemons' requests in flight.
 
         Parameters
         ----------
         totals : dict of str to int
-            By server; servers that are not named have none.
+            By server; servers that are not listed have none.
         now_ms : float
         """
         for name in totals:
-            self._of(name)
-        for name, seen in self._seen.items():
-            seen.note_told(totals.get(name, 0), now_ms)
+            self._stats_of(name)
+        for name, stats in self._stats.items():
+            stats.note_peer_count(totals.get(name, 0), now_ms)
 
     def forget(self, names):
-        """Forget all servers but some, and those with requests under way."""
-        for name in set(self._seen) - set(names):
-            if not self._seen[name].in_flight:
-                del self._seen[name]
-
-    def _note_asked(self, service, wanted, work_ms):
-        """Take in a request; return what part of the room is kept from lower ones."""
-        asked = self._asked.get(service)
-        if asked is None:
-            asked = self._asked[service] = _Asked(all_ms=work_ms)
-        asked.note(work_ms, wanted.urgent)
-        return 0.0 if wanted.urgent else min(MOST_KEPT, asked.urgent_share)
-
-    def _objection(self, wanted, server, expected_ms, kept_share, now_ms):
-        """Return why a request should not be sent to wait there; empty if it should.
-
-        Load: more requests than a server can take. Harm prevented: a queue that makes
-        all answers late: an answer after its target is worth a fraction, and the time
-        it takes is missing to others. What would not wait at all costs nobody.
-
-        How long the queue may be goes by the server's usual speed. A neighbour on its
-        machine slows it for moments; whoever is refused then comes back too late for
-        the target anyway, and nobody behind gains much, as a short queue has drained
-        soon after.
+        """Drop all servers except the given ones and those with requests in flight."""
+        for name in set(self._stats) - set(names):
+            if not self._stats[name].in_flight:
+                del self._stats[name]
+
+    def _note_demand(self, service, requirements, work_ms):
+        """Record a request; return the share of the waiting room it must leave free."""
+        demand = self._demand.get(service)
+        if demand is None:
+            demand = self._demand[service] = _DemandMeans(all_ms=work_ms)
+        demand.note(work_ms, requirements.urgent)
+        return (
+            0.0 if requirements.urgent else min(MAX_RESERVED_SHARE, demand.urgent_share)
+        )
+
+    def _rejection_rule(self, requirements, server, expected_ms, kept_share, now_ms):
+        """Return the rule that forbids queueing at a server; empty if none does.
+
+        A request that does not have to wait is always accepted. Otherwise, a long queue
+        under overload would delay all responses. A response after its target is worth
+        only a fraction of one in time, and the time spent on it is lost to others.
+
+        The maximum queue length is computed from the server's typical speed, not its
+        current one. Other processes on the machine slow a server down for short
+        periods. A caller rejected because of one would retry too late for its target,
+        and rejecting it would gain little for the requests behind it, because a short
+        queue drains soon afterwards.
         """
-        seen = self._of(server.name)
-        work_ms = self.work_ms(wanted.route)
-        excess = self._excess(server, work_ms * seen.speed_now(now_ms), now_ms)
+        stats = self._stats_of(server.name)
+        work_ms = self.work_ms(requirements.route)
+        excess = self._queue_excess(
+            server, work_ms * stats.current_slowdown(now_ms), now_ms
+        )
         if excess <= 0:
             return ""
-        if expected_ms > wanted.left_ms * LATE_SHARE:
+        if expected_ms > requirements.left_ms * DEADLINE_SHARE:
             return "no time"
-        usual_ms = work_ms * seen.usual_speed(now_ms)
-        room_ms = wanted.target_left_ms * LATE_SHARE - usual_ms
+        usual_ms = work_ms * stats.typical_slowdown(now_ms)
+        room_ms = requirements.target_left_ms * DEADLINE_SHARE - usual_ms
         wait_ms = excess * usual_ms / server.slots
         if wait_ms > room_ms:
             return "queue too long"
         return "kept for urgent" if wait_ms > room_ms * (1.0 - kept_share) else ""
 
     def _retry_after_s(self, wait_ms, work_ms):
-        """Return when a refused caller should come back: when the queue has drained.
+        """Return when a rejected caller should retry: once the queue has drained.
 
-        Load: many refused at once. Harm prevented: all of them coming back at once,
-        so it is spread over as long again.
+        The value is spread over a range as long again, so that callers rejected at the
+        same moment do not all retry together.
         """
         retry_s = max(wait_ms, work_ms / 2) * (0.5 + self.rng.random()) / 1000.0
-        return min(MAX_RETRY_S, max(MIN_RETRY_S, retry_s))
+        return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_s))
 
-    def _of(self, name):
-        seen = self._seen.get(name)
-        if seen is None:
-            seen = self._seen[name] = ServerSeen()
-        return seen
+    def _stats_of(self, name):
+        stats = self._stats.get(name)
+        if stats is None:
+            stats = self._stats[name] = ServerStats()
+        return stats
 
-    def _done(self, chosen, report, now_ms):
-        seen = self._of(chosen.server.name)
-        seen.in_flight -= 1
+    def _record_end(self, selection, report, now_ms):
+        stats = self._stats_of(selection.server.name)
+        stats.in_flight -= 1
         if report is not None:
-            seen.note_report(report, now_ms)
-        return seen
+            stats.note_report(report, now_ms)
+        return stats
--- a/src/tarragonramp/sightings.py
+++ b/src/tarragonramp/sightings.py
@@ -1,53 +1,54 @@
-"""What one daemon has seen of one server. Pure state."""
+"""Statistics that one daemon keeps about one backend server, without I/O."""
 
 import math
 
 import attrs
 
-__all__ = ["LoadReport", "ServerSeen"]
+__all__ = ["LoadReport", "ServerStats"]
 
-MEAN_WEIGHT = 0.15
-"""Weight of the newest answer in a server's mean: some ten answers move it, so that one
-long piece of work among short ones does not look like a slow server."""
+ANSWER_EWMA_WEIGHT = 0.15
+"""Weight of the newest response in a server's moving averages. About ten responses move
+them, so that one long request among short ones does not make a server look slow."""
 
-FAILURE_WEIGHT = 0.25
-"""Weight of a failure in the share of those that fail."""
+FAILURE_EWMA_WEIGHT = 0.25
+"""Weight of a failure in a server's failure rate."""
 
-REPORT_SHARE, LEAST_REPORT_MS = 1.0, 150.0
-"""Age at which a load report counts for half, as part of the time that work takes.
-Load: other daemons' requests at the same server, which end in that time. Harm
-prevented: passing over a server for work that has long been done, or queueing behind
-work that has only begun."""
+REPORT_HALF_LIFE_FACTOR, MIN_REPORT_HALF_LIFE_MS = 1.0, 150.0
+"""Half-life of a load report: this factor of the processing time of a request, and not
+less than the minimum. A report describes other daemons' requests, which finish within
+about that time. Ignoring its age would mean skipping a server because of work that
+finished long ago; dropping it too early would mean queueing behind work that has just
+started."""
 
-TOLD_LAG_MS = 200.0
-"""How old on average what other daemons told is when it comes here, by way of the
-leader. A server's own report that is newer goes before it. Load: busy owners, which all
-daemons ask at once. Harm prevented: a queue there that this daemon does not see, or one
-that it still sees when it has gone."""
+PEER_COUNT_LAG_MS = 200.0
+"""Average age of the other daemons' request counts when they arrive by way of the
+leader. A report from the server itself takes precedence if it is newer. All daemons
+send requests to the owners of hot keys at once; with outdated counts, this daemon
+would miss a queue there, or assume one that is already gone."""
 
-TOLD_MS = 1500.0
-"""How long what other daemons told is used: three times as long as it takes to come."""
+PEER_COUNT_TTL_MS = 1500.0
+"""How long the other daemons' request counts are used: three times as long as they take
+to arrive."""
 
-SLOWNESS_MS = 200.0
-"""Age at which a report of how long work takes counts for half; it changes many times a
-second."""
+SLOWNESS_HALF_LIFE_MS = 200.0
+"""Half-life of the slowness in a load report, which changes many times a second."""
 
-FORGET_MS = 2500.0
-"""Time in which half of what is held against a server without answers is forgotten.
-Load: a server slowed by a neighbour for seconds. Harm prevented: never finding out
-that it is quick again, as nobody asks it."""
+DECAY_HALF_LIFE_MS = 2500.0
+"""Half-life of the slowdown and failure rate of a server that sends no responses. Other
+processes on the machine may slow a server down for seconds. Because slow servers
+receive no requests, their recovery would otherwise never be noticed."""
 
 
 @attrs.frozen
 class LoadReport:
-    """What a server says of its load with an answer.
+    """Load that a server reports with a response.
 
     Parameters
     ----------
     running, waiting, slots : float
         Requests from all callers together.
     slowness : float
-        How long work takes there at this moment; 1 as usual.
+        Factor by which processing is slower than usual at this moment; 1 is usual.
     """
 
     running: float
@@ -57,81 +58,87 @@
 
 
 @attrs.define(eq=False)
-class ServerSeen:
-    """What one daemon has seen of one server."""
+class ServerStats:
+    """What one daemon has observed of one server."""
 
     in_flight: int = 0
     speed: float = 1.0
-    is_asked: bool = False
+    was_selected: bool = False
     failures: float = 0.0
     report: object = None
     report_ms: float = -math.inf
-    own_at_report: int = 0
-    told: float = 0.0
-    told_ms: float = -math.inf
-    changed_ms: float = -math.inf
-    passed_over_until_ms: float = -math.inf
+    own_in_flight_at_report: int = 0
+    peer_count: float = 0.0
+    peer_count_ms: float = -math.inf
+    updated_ms: float = -math.inf
+    backoff_until_ms: float = -math.inf
 
-    def others(self, work_ms, now_ms):
-        """Requests of other daemons that are probably there now.
+    def estimate_peer_in_flight(self, work_ms, now_ms):
+        """Return an estimate of the other daemons' requests at the server.
 
-        From the server's own last word or from what the other daemons told, whichever
-        is newer; both get old.
+        Based on the server's latest report or on the other daemons' counts, whichever
+        is newer. A report decays with age; a count expires.
         """
-        is_newer = self.report_ms > self.told_ms - TOLD_LAG_MS
-        told = self.told_lately(now_ms)
-        if not is_newer and told is not None:
-            return told
+        is_report_newer = self.report_ms > self.peer_count_ms - PEER_COUNT_LAG_MS
+        peer_count = self.recent_peer_count(now_ms)
+        if not is_report_newer and peer_count is not None:
+            return peer_count
         if self.report is None:
             return 0.0
-        at_report = self.report.running + self.report.waiting - self.own_at_report
-        age = (now_ms - self.report_ms) / max(LEAST_REPORT_MS, REPORT_SHARE * work_ms)
-        return max(0.0, at_report) * 0.5**age
-
-    def told_lately(self, now_ms):
-        """Return how many requests other daemons told of; None if that is old."""
-        return self.told if now_ms - self.told_ms < TOLD_MS else None
-
-    def usual_speed(self, now_ms):
-        """Return how long work takes there lately, as a factor; 1 as usual."""
+        others_at_report = (
+            self.report.running + self.report.waiting - self.own_in_flight_at_report
+        )
+        age = (now_ms - self.report_ms) / max(
+            MIN_REPORT_HALF_LIFE_MS, REPORT_HALF_LIFE_FACTOR * work_ms
+        )
+        return max(0.0, others_at_report) * 0.5**age
+
+    def recent_peer_count(self, now_ms):
+        """Return the other daemons' request count; None if it has expired."""
+        return (
+            self.peer_count if now_ms - self.peer_count_ms < PEER_COUNT_TTL_MS else None
+        )
+
+    def typical_slowdown(self, now_ms):
+        """Return the factor by which processing was slower lately; 1 is usual."""
         return self._decayed(self.speed, 1.0, now_ms)
 
-    def speed_now(self, now_ms):
-        """Return how long work takes there at this moment, as a factor."""
-        speed = self.usual_speed(now_ms)
+    def current_slowdown(self, now_ms):
+        """Return the factor by which processing is slower at this moment."""
+        speed = self.typical_slowdown(now_ms)
         if self.report is not None:
-            age = (now_ms - self.report_ms) / SLOWNESS_MS
+            age = (now_ms - self.report_ms) / SLOWNESS_HALF_LIFE_MS
             speed *= 1.0 + (self.report.slowness - 1.0) * 0.5**age
         return speed
 
-    def failure_share(self, now_ms):
-        """Return which part of the requests there has failed lately."""
+    def failure_rate(self, now_ms):
+        """Return the recent fraction of failed requests."""
         return self._decayed(self.failures, 0.0, now_ms)
 
     def note_report(self, report, now_ms):
-        """Take in what the server says, with an answer that is no more in flight."""
+        """Record a load report whose request is no longer in flight."""
         self.report, self.report_ms = report, now_ms
-        self.own_at_report = self.in_flight
+        self.own_in_flight_at_report = self.in_flight
 
-    def note_told(self, count, now_ms):
-        """Take in how many requests of other daemons are there, as they told."""
-        self.told, self.told_ms = count, now_ms
+    def note_peer_count(self, count, now_ms):
+        """Record how many requests the other daemons have in flight at the server."""
+        self.peer_count, self.peer_count_ms = count, now_ms
 
     def note_answer(self, ratio, now_ms):
-        """Take in an answer that took so many times as long as was expected."""
+        """Record a response by the ratio of its actual to its expected time."""
         ratio = min(4.0, max(0.25, ratio))
-        speed = self.usual_speed(now_ms) * ratio**MEAN_WEIGHT
-        self.failures = self.failure_share(now_ms) * (1.0 - MEAN_WEIGHT)
+        speed = self.typical_slowdown(now_ms) * ratio**ANSWER_EWMA_WEIGHT
+        self.failures = self.failure_rate(now_ms) * (1.0 - ANSWER_EWMA_WEIGHT)
         self.speed = min(20.0, max(0.1, speed))
-        self.changed_ms = now_ms
+        self.updated_ms = now_ms
 
     def note_failure(self, now_ms):
-        """Take in that a request was not run, or has failed."""
-        failures = self.failure_share(now_ms)
-        self.failures = failures + FAILURE_WEIGHT * (1.0 - failures)
-        self.changed_ms = now_ms
-
-    def _decayed(self, value, calm, now_ms):
-        """Return a mean that moves back to calm while nothing is heard."""
-        age = max(0.0, now_ms - self.changed_ms) / FORGET_MS
-        return calm + (value - calm) * 0.5**age
+        """Record that a request failed or was not executed."""
+        failures = self.failure_rate(now_ms)
+        self.failures = failures + FAILURE_EWMA_WEIGHT * (1.0 - failures)
+        self.updated_ms = now_ms
+
+    def _decayed(self, value, baseline, now_ms):
+        """Return an average that decays to its baseline without observations."""
+        age = max(0.0, now_ms - self.updated_ms) / DECAY_HALF_LIFE_MS
+        return baseline + (value - baseline) * 0.5**age
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -1,4 +1,4 @@
-"""Which server gets a request, judged by what callers get: a play without sockets."""
+"""Server selection, measured by what callers get in a simulation without sockets."""
 
 import heapq
 import random
@@ -22,39 +22,39 @@
     return BackendServer(f"s{i}", 1, "desk", f"10.0.0.{i}:80", domain, slots)
 
 
-class Play:
-    """Daemons, servers with queues, and callers, on a clock of its own."""
+class Simulation:
+    """Simulates daemons, servers with queues and callers on a clock of its own."""
 
-    def __init__(self, n_daemons, servers, speeds, work_ms=200.0, seed=1):
+    def __init__(self, n_daemons, servers, slowdowns, work_ms=200.0, seed=1):
         self.rng = random.Random(seed)
         self.servers, self.work_ms = servers, work_ms
-        self.speeds = dict(zip((s.name for s in servers), speeds, strict=True))
+        self.slowdowns = dict(zip((s.name for s in servers), slowdowns, strict=True))
         self.daemons = [
             Loads("ab"[i % 2], random.Random(seed + i)) for i in range(n_daemons)
         ]
         self.free_at = {s.name: [0.0] * s.slots for s in servers}
-        self.events, self.taken_ms, self.refused = [], [], []
+        self.events, self.latencies_ms, self.refused = [], [], []
 
-    def run(self, per_s, for_s, wanted=None):
-        """Let callers come at random; return the share answered within the target."""
-        wanted = wanted or (lambda: Wanted("r", LIMIT_MS, TARGET_MS))
+    def run(self, per_s, for_s, requirements=None):
+        """Let callers arrive at random; return the share answered within the target."""
+        requirements = requirements or (lambda: Wanted("r", LIMIT_MS, TARGET_MS))
         now_ms, n = 0.0, 0
         while now_ms < for_s * 1000.0:
             now_ms += self.rng.expovariate(per_s) * 1000.0
             self._finish(now_ms)
             n += 1
-            self._arrive(self.rng.choice(self.daemons), wanted(), now_ms)
+            self._arrive(self.rng.choice(self.daemons), requirements(), now_ms)
         self._finish(now_ms + 60_000.0)
-        good = sum(took <= TARGET_MS for took in self.taken_ms)
-        return good / n
+        n_in_time = sum(took <= TARGET_MS for took in self.latencies_ms)
+        return n_in_time / n
 
-    def _arrive(self, daemon, wanted, now_ms):
-        choice = daemon.choose(self.servers, wanted, now_ms)
+    def _arrive(self, daemon, requirements, now_ms):
+        choice = daemon.choose(self.servers, requirements, now_ms)
         if isinstance(choice, Refused):
             self.refused.append(choice)
             return
         name = choice.server.name
-        work_ms = self.work_ms * self.speeds[name] * self.rng.uniform(0.5, 1.5)
+        work_ms = self.work_ms * self.slowdowns[name] * self.rng.uniform(0.5, 1.5)
         slots = self.free_at[name]
         start_ms = max(now_ms, heapq.heappop(slots))
         heapq.heappush(slots, start_ms + work_ms)
@@ -70,24 +70,24 @@
             here = sum(e[3].server is choice.server for e in self.events)
             report = LoadReport(len(busy), max(0, here - len(busy)), 3)
             daemon.answered(choice, at_ms - sent_ms, report, at_ms)
-            self.taken_ms.append(at_ms - sent_ms)
+            self.latencies_ms.append(at_ms - sent_ms)
 
 
 class ConnectionsTest(unittest.TestCase):
-    """What daemons that agree on nothing may open at one server."""
+    """Connections that independent daemons may open to one server."""
 
-    def test_the_firm_shares_never_exceed_what_a_server_takes(self):
+    def test_guaranteed_connections_never_exceed_the_limit(self):
         for limit, n_daemons in ((51, 8), (110, 9), (130, 91), (470, 69)):
             share = connection_share(limit, n_daemons)
             self.assertLessEqual(share * n_daemons, limit)
             self.assertTrue(may_connect(limit, n_daemons, share - 1, None))
             self.assertFalse(may_connect(limit, n_daemons, share, None))
 
-    def test_a_daemon_borrows_while_the_server_has_room(self):
-        """One key is hot at 91 daemons, each of which has one connection for sure.
+    def test_unused_connections_are_borrowed(self):
+        """One key is hot at 91 daemons with one guaranteed connection each.
 
-        Every second request of a daemon was refused, with four slots and 100 unused
-        connections at the server.
+        Guards against refusing every second request of a daemon while the server has
+        four slots and 100 unused connections.
         """
         self.assertTrue(may_connect(130, 91, 1, 6))
         self.assertFalse(may_connect(130, 91, 1, 30))
@@ -95,81 +95,89 @@
 
 
 class BalancingTest(unittest.TestCase):
-    """Nine daemons and twelve servers, as claims run on."""
+    """Nine daemons and the twelve servers that handle claims."""
 
-    def play(self, speeds=None, n_daemons=9):
-        """Return a play with servers in two failure domains."""
+    def simulation(self, slowdowns=None, n_daemons=9):
+        """Return a simulation with servers in two failure domains."""
         servers = [server(i, "ab"[i % 2]) for i in range(12)]
-        return Play(n_daemons, servers, speeds or [1.0] * 12)
+        return Simulation(n_daemons, servers, slowdowns or [1.0] * 12)
 
-    def test_an_ordinary_day(self):
-        self.assertGreater(self.play().run(60.0, 60), 0.99)
+    def test_normal_load(self):
+        self.assertGreater(self.simulation().run(60.0, 60), 0.99)
 
     def test_servers_of_different_speed(self):
-        """Quick servers get more: the slow ones' queues would miss the target."""
-        speeds = [0.5, 1.0, 1.0, 1.5] * 3
-        self.assertGreater(self.play(speeds).run(90.0, 60), 0.93)
-
-    def test_one_slow_server_is_passed_over(self):
-        speeds = [1.0] * 11 + [8.0]
-        self.assertGreater(self.play(speeds).run(60.0, 60), 0.95)
-
-    def test_saturation_refuses_at_once_and_answers_the_rest_in_time(self):
-        """Twice what the servers can take: those admitted are still answered."""
-        play = self.play()
-        play.run(360.0, 30)
-        in_time = sum(took <= TARGET_MS for took in play.taken_ms)
-        self.assertGreater(in_time / len(play.taken_ms), 0.6)
-        self.assertGreater(len(play.taken_ms), 0.8 * 180 * 30)
-        self.assertTrue(all(0 < r.retry_after_s <= 5.0 for r in play.refused))
-
-    def test_a_burst_passes(self):
-        play = self.play()
-        self.assertGreater(play.run(150.0, 3), 0.9)
-
-    def test_urgent_requests_are_refused_less(self):
-        """Claims and lookups press together: lookups are refused first."""
-        play, refused, asked = self.play(), {True: 0, False: 0}, {True: 0, False: 0}
+        """Slow servers get fewer requests; their queues would miss the target."""
+        slowdowns = [0.5, 1.0, 1.0, 1.5] * 3
+        self.assertGreater(self.simulation(slowdowns).run(90.0, 60), 0.93)
+
+    def test_slow_server_is_avoided(self):
+        slowdowns = [1.0] * 11 + [8.0]
+        self.assertGreater(self.simulation(slowdowns).run(60.0, 60), 0.95)
+
+    def test_overload_is_rejected_and_accepted_requests_are_in_time(self):
+        """At twice the capacity, accepted requests are still answered in time."""
+        simulation = self.simulation()
+        simulation.run(360.0, 30)
+        in_time = sum(took <= TARGET_MS for took in simulation.latencies_ms)
+        self.assertGreater(in_time / len(simulation.latencies_ms), 0.6)
+        self.assertGreater(len(simulation.latencies_ms), 0.8 * 180 * 30)
+        self.assertTrue(all(0 < r.retry_after_s <= 5.0 for r in simulation.refused))
+
+    def test_burst_is_absorbed(self):
+        simulation = self.simulation()
+        self.assertGreater(simulation.run(150.0, 3), 0.9)
+
+    def test_urgent_requests_are_rejected_less(self):
+        """With more claims and lookups than capacity, lookups are rejected first."""
+        simulation, refused, n_sent = (
+            self.simulation(),
+            {True: 0, False: 0},
+            {True: 0, False: 0},
+        )
         kinds = random.Random(5)
 
-        def wanted():
+        def requirements():
             urgent = kinds.random() < 0.4
-            asked[urgent] += 1
-            before = len(play.refused)
+            n_sent[urgent] += 1
+            before = len(simulation.refused)
             pending.append((urgent, before))
             return Wanted("r", LIMIT_MS, TARGET_MS, urgent)
 
         pending = []
-        play.run(320.0, 30, wanted)
-        marks = [before for _, before in pending] + [len(play.refused)]
-        for (urgent, before), after in zip(pending, marks[1:], strict=True):
+        simulation.run(320.0, 30, requirements)
+        counts = [before for _, before in pending] + [len(simulation.refused)]
+        for (urgent, before), after in zip(pending, counts[1:], strict=True):
             refused[urgent] += after - before
-        self.assertLess(refused[True] / asked[True], refused[False] / asked[False])
+        self.assertLess(refused[True] / n_sent[True], refused[False] / n_sent[False])
 
-    def test_a_server_that_joins_is_asked_although_another_is_quick(self):
-        """Servers join on a calm day, and nobody asks them for as long as it is calm.
+    def test_new_server_is_selected_although_another_is_fast(self):
+        """Servers that join under low load receive requests although another is fast.
 
-        A quick one is free each time; the new ones, of which nothing is known, are
-        taken to be of usual speed. Only one of the own failure domain is tried.
+        A fast server is free for every request, and new servers are assumed to have the
+        usual speed, so they would never be selected. Only new servers of the own
+        failure domain are tried.
         """
-        loads, wanted = Loads("a", random.Random(1)), Wanted("r", LIMIT_MS, TARGET_MS)
-        quick, slow, now_ms = server(0), server(1), 0.0
+        loads, requirements = (
+            Loads("a", random.Random(1)),
+            Wanted("r", LIMIT_MS, TARGET_MS),
+        )
+        fast, slow, now_ms = server(0), server(1), 0.0
         for _ in range(300):
             now_ms += 10.0
-            for item, took_ms in ((quick, 50.0), (slow, 150.0)):
+            for item, took_ms in ((fast, 50.0), (slow, 150.0)):
                 chosen = Chosen(item, "r", took_ms)
                 loads.sent(chosen)
                 loads.answered(chosen, took_ms, None, now_ms)
-        away, home = server(2, "b"), server(3)
-        for joined, expected in (([away], quick), ([away, home], home)):
-            choice = loads.choose([quick, slow, *joined], wanted, now_ms)
+        remote, local = server(2, "b"), server(3)
+        for joined, expected in (([remote], fast), ([remote, local], local)):
+            choice = loads.choose([fast, slow, *joined], requirements, now_ms)
             self.assertIs(choice.server, expected)
-        loads.sent(Chosen(home, "r", 0.0))
-        choice = loads.choose([quick, slow, away, home], wanted, now_ms)
-        self.assertIs(choice.server, quick)
+        loads.sent(Chosen(local, "r", 0.0))
+        choice = loads.choose([fast, slow, remote, local], requirements, now_ms)
+        self.assertIs(choice.server, fast)
 
-    def test_work_stays_in_its_failure_domain_while_there_is_room(self):
-        """Bytes between failure domains are paid for."""
+    def test_requests_stay_in_the_failure_domain_while_it_has_capacity(self):
+        """Traffic between failure domains is paid for."""
         loads = Loads("a", random.Random(1))
         servers = [server(0, "a"), server(1, "b")]
         for _ in range(2):
@@ -181,22 +189,25 @@
         choice = loads.choose(servers, Wanted("r", LIMIT_MS, TARGET_MS), 0.0)
         self.assertEqual(choice.server.name, "s1")
 
-    def test_a_server_that_sheds_quickly_is_not_taken_for_a_quick_one(self):
+    def test_fast_shedding_does_not_make_a_server_look_fast(self):
         loads = Loads("a", random.Random(1))
         servers = [server(0), server(1)]
         for i in range(12):
             first = Chosen(server(0), "r", 0.0)
             loads.sent(first)
             loads.shed(first, LoadReport(0, 0, 3), i * 50.0)
-        wanted = Wanted("r", LIMIT_MS, TARGET_MS)
-        chosen = {loads.choose(servers, wanted, 700.0).server.name for _ in range(20)}
+        requirements = Wanted("r", LIMIT_MS, TARGET_MS)
+        chosen = {
+            loads.choose(servers, requirements, 700.0).server.name for _ in range(20)
+        }
         self.assertEqual(chosen, {"s1"})
 
-    def test_a_moment_of_slowness_refuses_nobody(self):
-        """A neighbour makes an owner three times slower for some tenths of a second.
+    def test_short_slowdown_rejects_no_request(self):
+        """An owner is three times slower for some tenths of a second.
 
-        Callers were refused although nobody waited there but two, and came back too
-        late for their target. A queue that is too long at its usual speed is refused.
+        Guards against rejecting callers while only two requests wait at the owner; they
+        would retry too late for their target. A queue that is too long at the server's
+        usual speed is still rejected.
         """
         loads, item = Loads("a", random.Random(1)), server(0, slots=4)
         for at_ms in range(0, 30_000, 300):
@@ -206,18 +217,18 @@
             loads.answered(chosen, 90.0, slow, float(at_ms))
         for _ in range(5):
             loads.sent(Chosen(item, "r", 0.0))
-        wanted = Wanted("r", 800.0, 300.0)
-        self.assertIsInstance(loads.choose([item], wanted, 29_710.0), Chosen)
+        requirements = Wanted("r", 800.0, 300.0)
+        self.assertIsInstance(loads.choose([item], requirements, 29_710.0), Chosen)
         for _ in range(12):
             loads.sent(Chosen(item, "r", 0.0))
-        choice = loads.choose([item], wanted, 29_720.0)
+        choice = loads.choose([item], requirements, 29_720.0)
         self.assertIsInstance(choice, Refused)
 
-    def test_room_is_kept_only_for_urgent_requests_that_come(self):
-        """A more urgent route to the service exists, but nobody uses it."""
+    def test_capacity_is_reserved_only_for_urgent_requests_that_arrive(self):
+        """No room is reserved for a more urgent route that receives no requests."""
         lookup = Wanted("lookup", 800.0, 300.0, urgent=False)
         claim = Wanted("claim", 800.0, 300.0, urgent=True)
-        taken = []
+        n_accepted = []
         for kinds in ([lookup], [lookup, claim]):
             loads, item = Loads("a", random.Random(1)), server(0, slots=4)
             for i in range(200):
@@ -229,19 +240,19 @@
             while isinstance(loads.choose([item], lookup, 60_000.0), Chosen):
                 loads.sent(Chosen(item, "lookup", 0.0))
                 n += 1
-            taken.append(n)
+            n_accepted.append(n)
             if kinds == [lookup, claim]:
                 choice = loads.choose([item], claim, 60_000.0)
                 self.assertIsInstance(choice, Chosen)
-        self.assertGreater(taken[0], taken[1])
+        self.assertGreater(n_accepted[0], n_accepted[1])
 
-    def test_an_owner_that_others_have_filled_is_known_to_be_full(self):
-        """Nine daemons ask a busy owner now and then; each sees only its own part."""
+    def test_requests_of_other_daemons_fill_an_owner(self):
+        """Nine daemons send to a busy owner; each sees only its own requests there."""
         loads = Loads("a", random.Random(1))
-        wanted = Wanted("r", LIMIT_MS, 300.0)
-        self.assertNotIsInstance(loads.choose([server(0)], wanted, 0.0), Refused)
+        requirements = Wanted("r", LIMIT_MS, 300.0)
+        self.assertNotIsInstance(loads.choose([server(0)], requirements, 0.0), Refused)
         loads.take_told({"s0": 9}, 0.0)
-        self.assertIsInstance(loads.choose([server(0)], wanted, 10.0), Refused)
-        # What was told is old by then.
-        choice = loads.choose([server(0)], wanted, 5000.0)
+        self.assertIsInstance(loads.choose([server(0)], requirements, 10.0), Refused)
+        # The reported count has expired by then.
+        choice = loads.choose([server(0)], requirements, 5000.0)
         self.assertNotIsInstance(choice, Refused)
