--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,7 +1,7 @@
-"""Gates before simulated servers: what callers get under load.
+"""Admission to simulated servers: what callers get under load.
 
-A server runs a request in each slot, queues a few and sheds the rest, as the users'
-do. Time is simulated; requests carry their own work.
+A server runs one request in each slot, queues a few and sheds the rest, as the users'
+servers do. Time is simulated; each request has its own processing time.
 """
 
 import collections
@@ -36,26 +36,28 @@
 
 
 class Simulation:
-    """Entries, each with a gate before the one server."""
+    """Simulates entries that each have a gate for the same server."""
 
-    def __init__(self, n_entries=1, slots=4, connections=50, seed=1, speed=None):
+    def __init__(self, n_entries=1, slots=4, connections=50, seed=1, slowdown=None):
         self.rng = random.Random(seed)
         self.gates = [
             Gate(slots, connections, n_entries, rng=random.Random(seed + i))
             for i in range(n_entries)
         ]
-        self.slots, self.speed = slots, speed or (lambda now_ms: 1.0)
+        self.slots, self.slowdown = slots, slowdown or (lambda now_ms: 1.0)
         self.running, self.queue = 0, collections.deque()
         self.results, self.peak_in_flight = [], 0
         self._events, self._order = [], itertools.count()
         self.now_ms = 0.0
 
     def at(self, time_ms, action, *arguments):
-        """Do something at a time."""
+        """Schedule an action."""
         heapq.heappush(self._events, (time_ms, next(self._order), action, arguments))
 
-    def offer(self, rate, priority, until_ms, work_ms=10.0, from_ms=0.0, patience=2000):
-        """Let callers arrive at random, so many a second, at random entries."""
+    def offer(
+        self, rate, priority, until_ms, work_ms=10.0, from_ms=0.0, caller_timeout=2000
+    ):
+        """Let callers arrive at random entries at an average rate per second."""
         time_ms = from_ms
         while True:
             time_ms += self.rng.expovariate(rate / 1000.0)
@@ -63,7 +65,7 @@
                 return
             took_ms = work_ms(self.rng) if callable(work_ms) else work_ms
             gate = self.rng.choice(self.gates)
-            self.at(time_ms, self._arrive, gate, priority, took_ms, patience)
+            self.at(time_ms, self._arrive, gate, priority, took_ms, caller_timeout)
 
     def run(self):
         """Run to the end; return results by class."""
@@ -75,10 +77,10 @@
             by_class[result.priority].append(result)
         return by_class
 
-    def _arrive(self, gate, priority, work_ms, patience_ms):
+    def _arrive(self, gate, priority, work_ms, caller_timeout_ms):
         result = Result(priority, self.now_ms)
         self.results.append(result)
-        ticket = Ticket(priority, self.now_ms + patience_ms)
+        ticket = Ticket(priority, self.now_ms + caller_timeout_ms)
         ticket.on_change = lambda: self._go_on(gate, ticket, result, work_ms)
         self._wake(gate.arrive(ticket, self.now_ms))
         if ticket.state == WAITING:
@@ -113,7 +115,7 @@
 
     def _execute(self, job):
         self.running += 1
-        self.at(self.now_ms + job[3] * self.speed(self.now_ms), self._finish, job)
+        self.at(self.now_ms + job[3] * self.slowdown(self.now_ms), self._finish, job)
 
     def _finish(self, job):
         gate, ticket, result, _, sent_ms = job
@@ -129,27 +131,27 @@
 
 
 def share(results, kind="answered"):
-    """Return the part of the callers that got something."""
+    """Return the fraction of callers with a result of a kind."""
     return sum(result.kind == kind for result in results) / len(results)
 
 
 def quantile_ms(results, part):
-    """Return a quantile of the time to an answer."""
+    """Return a quantile of the time to a response."""
     times = sorted(r.total_ms for r in results if r.kind == "answered")
     return times[int(part * (len(times) - 1))]
 
 
 class CallersTest(unittest.TestCase):
-    """Capacity is 400/s: four slots, 10 ms of work."""
+    """The capacity is 400 requests/s: four slots, 10 ms of work."""
 
-    def test_half_load_is_answered_without_refusal(self):
+    def test_half_load_is_answered_without_rejection(self):
         simulation = Simulation(n_entries=4)
         simulation.offer(200, LOOKUP, 20_000)
         got = simulation.run()[LOOKUP]
         self.assertEqual(share(got), 1.0)
         self.assertLess(quantile_ms(got, 0.99), 60.0)
 
-    def test_a_burst_is_waited_out(self):
+    def test_burst_is_queued(self):
         simulation = Simulation(n_entries=2)
         simulation.offer(100, LOOKUP, 5000)
         simulation.offer(2000, CLAIM, 1100, from_ms=1000)
@@ -157,8 +159,8 @@
         self.assertGreater(share(got[CLAIM]), 0.95)
         self.assertGreater(share(got[LOOKUP]), 0.9)
 
-    def test_full_saturation(self):
-        """Three times what the server bears, for ten seconds."""
+    def test_saturation_by_all_classes(self):
+        """Three times the server's capacity, for ten seconds."""
         simulation = Simulation(n_entries=3)
         simulation.offer(200, CLAIM, 10_000)
         simulation.offer(600, LOOKUP, 10_000)
@@ -175,8 +177,8 @@
         at_once = sum(result.total_ms < 5.0 for result in refused)
         self.assertGreater(at_once, 0.9 * len(refused))
 
-    def test_claims_alone_saturate(self):
-        """Stock lookups wait their turn for minutes, but some always run."""
+    def test_saturation_by_claims_does_not_starve_lookups(self):
+        """Claims saturate the server; stock lookups are delayed but never starved."""
         simulation = Simulation()
         simulation.offer(800, CLAIM, 10_000)
         simulation.offer(20, STOCK, 10_000)
@@ -186,7 +188,7 @@
         self.assertGreater(answered, 0.9 * 400 * 10)
 
     def test_one_busy_entry_borrows_idle_slots(self):
-        """The balancer's skew sends nearly everything to one entry of four."""
+        """The users' load balancer sends nearly all requests to one entry of four."""
         simulation = Simulation(n_entries=4)
         idle, busy = simulation.gates, simulation.gates[:1]
         simulation.gates = busy
@@ -197,8 +199,8 @@
         self.assertGreater(share(got), 0.97)
         self.assertGreater(busy[0].limit, 3.0)
 
-    def test_borrowed_slots_are_given_back(self):
-        """One entry has borrowed everything when the others become busy."""
+    def test_borrowed_slots_are_returned(self):
+        """One entry has borrowed all slots when the others become busy."""
         simulation = Simulation(n_entries=4)
         gates = simulation.gates
         simulation.gates = gates[:1]
@@ -213,7 +215,7 @@
         self.assertLess(share(got, "late"), 0.01)
 
     def test_more_entries_than_slots(self):
-        """Nine entries share a server of three slots at three times its load."""
+        """Nine entries share a server of three slots at three times its capacity."""
         simulation = Simulation(n_entries=9, slots=3, connections=110)
         simulation.offer(100, CLAIM, 10_000)
         simulation.offer(800, LOOKUP, 10_000)
@@ -224,10 +226,10 @@
         answered = sum(result.kind == "answered" for result in simulation.results)
         self.assertGreater(answered, 0.9 * 300 * 10)
 
-    def test_a_slow_server(self):
-        """The server is slowed tenfold for two seconds by a neighbour nobody sees."""
+    def test_slow_server(self):
+        """Another process on the machine slows the server tenfold for two seconds."""
         slow = lambda now_ms: 10.0 if 3000 < now_ms < 5000 else 1.0
-        simulation = Simulation(n_entries=3, speed=slow)
+        simulation = Simulation(n_entries=3, slowdown=slow)
         simulation.offer(40, CLAIM, 10_000)
         simulation.offer(200, LOOKUP, 10_000)
         got = simulation.run()
@@ -244,34 +246,34 @@
         got = simulation.run()[LOOKUP]
         self.assertGreater(share(got), 0.95)
 
-    def test_callers_who_obey_do_not_come_in_waves(self):
-        """A burst is refused; all come back when told to."""
+    def test_retry_times_are_spread(self):
+        """All callers of a rejected burst retry at the time they were told."""
         gate = Gate(4, 50, rng=random.Random(5))
         tickets = [Ticket(LOOKUP, 2000.0) for _ in range(1000)]
         for ticket in tickets:
             gate.arrive(ticket, 0.0)
-        backs = [t.retry_after_ms for t in tickets if t.state == REFUSED]
-        self.assertGreater(len(backs), 500)
-        first, last = min(backs), max(backs)
+        retry_times = [t.retry_after_ms for t in tickets if t.state == REFUSED]
+        self.assertGreater(len(retry_times), 500)
+        first, last = min(retry_times), max(retry_times)
         self.assertGreater(last, 1.8 * first)
         slots = collections.Counter(
-            int(10 * (back - first) / (last - first + 1)) for back in backs
+            int(10 * (back - first) / (last - first + 1)) for back in retry_times
         )
-        self.assertLess(max(slots.values()), 2 * len(backs) / 10)
+        self.assertLess(max(slots.values()), 2 * len(retry_times) / 10)
 
 
 class GateTest(unittest.TestCase):
     """Single decisions."""
 
-    def test_a_request_without_prospects_does_not_wait(self):
+    def test_infeasible_request_is_rejected_immediately(self):
         gate = Gate(1, 50)
         gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
-        hopeless = Ticket(CLAIM, 15.0)
-        gate.arrive(hopeless, 0.0)
-        self.assertEqual(hopeless.state, REFUSED)
-        self.assertGreater(hopeless.retry_after_ms, 0.0)
+        infeasible = Ticket(CLAIM, 15.0)
+        gate.arrive(infeasible, 0.0)
+        self.assertEqual(infeasible.state, REFUSED)
+        self.assertGreater(infeasible.retry_after_ms, 0.0)
 
-    def test_a_claim_goes_before_lookups_that_came_first(self):
+    def test_claim_is_admitted_before_earlier_lookups(self):
         gate = Gate(1, 50)
         gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
         lookup, claim = Ticket(LOOKUP, 1000.0), Ticket(CLAIM, 1000.0)
@@ -280,7 +282,7 @@
         self.assertEqual(gate.leave(Outcome.ANSWERED, 5.0, 5.0), [claim])
         self.assertEqual((claim.state, lookup.state), (ADMITTED, WAITING))
 
-    def test_lookups_that_lose_their_prospects_are_told_at_once(self):
+    def test_lookups_that_become_infeasible_are_evicted(self):
         gate = Gate(1, 50, max_wait_ms=100.0)
         gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
         lookup = Ticket(LOOKUP, 30.0)
@@ -291,7 +293,7 @@
         self.assertEqual(changed, [lookup])
         self.assertEqual(lookup.state, REFUSED)
 
-    def test_a_ticket_that_waited_too_long_is_not_sent(self):
+    def test_ticket_that_waited_too_long_is_not_sent(self):
         gate = Gate(1, 50)
         gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
         late = Ticket(CLAIM, 40.0)
@@ -299,7 +301,7 @@
         self.assertEqual(gate.leave(Outcome.ANSWERED, 60.0, 60.0), [late])
         self.assertEqual((late.state, gate.in_flight), (REFUSED, 0))
 
-    def test_a_withdrawn_ticket_frees_its_place(self):
+    def test_withdrawn_ticket_frees_its_place(self):
         gate = Gate(1, 50)
         gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
         gone = Ticket(CLAIM, 1000.0)
@@ -308,9 +310,9 @@
         self.assertEqual(gate.leave(Outcome.ANSWERED, 5.0, 5.0), [])
         self.assertEqual((gate.n_waiting, gate.in_flight), (0, 0))
 
-    def test_limits_keep_within_what_the_server_bears(self):
+    def test_limit_stays_within_the_servers_capacity(self):
         gate = Gate(4, 6, n_entries=3)
-        self.assertEqual(gate.ceiling, 2.0)
+        self.assertEqual(gate.max_limit, 2.0)
         for i in range(200):
             tickets = [Ticket(CLAIM, 1e9) for _ in range(5)]
             for ticket in tickets:
@@ -321,7 +323,7 @@
         gate.resize(4, 50, 1)
         self.assertEqual(gate.limit, 4.0)
 
-    def test_shedding_lowers_the_limit_once_a_round(self):
+    def test_shedding_lowers_the_limit_once_per_round(self):
         gate = Gate(4, 50)
         for _ in range(4):
             gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
@@ -329,23 +331,23 @@
             gate.leave(Outcome.SHED, 1.0, 0.0)
         self.assertAlmostEqual(gate.limit, 2.8)
 
-    def test_an_own_pause_is_not_the_servers_silence(self):
-        """Guards against refusals right after this process stood still."""
+    def test_own_pause_does_not_count_as_silence_of_the_server(self):
+        """Guards against rejecting requests right after this process was paused."""
         stood_still_ms = 0.0
         gate = Gate(1, 50, max_wait_ms=500.0, stood_still_ms=lambda: stood_still_ms)
         gate.arrive(Ticket(CLAIM, 3000.0), 0.0)
         stood_still_ms = 700.0
-        thawed, late = Ticket(CLAIM, 3800.0), Ticket(CLAIM, 4500.0)
-        gate.arrive(thawed, 800.0)
-        self.assertEqual(thawed.state, WAITING)
+        after_pause, late = Ticket(CLAIM, 3800.0), Ticket(CLAIM, 4500.0)
+        gate.arrive(after_pause, 800.0)
+        self.assertEqual(after_pause.state, WAITING)
         gate.arrive(late, 1500.0)
         self.assertEqual(late.state, REFUSED)
 
-    def test_a_frozen_server_does_not_gather_callers(self):
-        """A server freezes with a request in flight, and its callers keep coming.
+    def test_frozen_server_does_not_accumulate_callers(self):
+        """A server freezes with a request in flight, and callers keep arriving.
 
-        Those behind it are told to come back within the longest wait, not at their
-        deadlines; after that newcomers are told at once.
+        Waiting callers are told to retry within the longest wait instead of at their
+        deadlines; later ones are rejected immediately.
         """
         gate = Gate(1, 50, max_wait_ms=500.0)
         gate.arrive(Ticket(CLAIM, 3000.0), 0.0)
