--- a/src/tarragonramp/cold.py
+++ b/src/tarragonramp/cold.py
@@ -1,7 +1,7 @@
-"""How much each daemon may send to a cold server. Pure decisions.
+"""Limits how many requests each daemon sends to a server in a cold start, without I/O.
 
-A server in a cold start bears a few requests a second from all daemons together, and
-falls over beyond. Daemons that do not talk to each other have to keep within that.
+A server in a cold start can handle a few requests a second from all daemons together
+and fails beyond that. Daemons have to stay within this limit without coordination.
 """
 
 import collections
@@ -11,45 +11,46 @@
 
 __all__ = ["ColdShares"]
 
-USED_SHARE = 0.8
-"""Part of the bound that is used. Load: daemons that see the number of daemons change
-at different moments. Harm prevented: one more sender than there should be."""
+USED_RATE_SHARE = 0.8
+"""Fraction of the allowed rate that is used. The daemons notice a change in their
+number at different times, so there may be one more sender than assumed."""
 
 WINDOW_MS = 1100.0
-"""A little longer than the second in which requests are counted that were sent and
-arrived: clocks of VMs do not run at quite the same speed."""
+"""A little longer than the second over which requests are counted, both when sent and
+when received, because the clocks of VMs differ slightly in speed."""
 
-UNKNOWN_DAEMONS = 16
-"""How many daemons a daemon counts with before it has heard how many there are."""
+ASSUMED_DAEMONS = 16
+"""Number of daemons that a daemon assumes until it knows the actual number."""
 
 
 @attrs.define(eq=False, repr=False)
 class ColdShares:
-    """This daemon's share of what cold servers bear.
+    """This daemon's share of the requests that servers in a cold start can handle.
 
-    Load: a failure domain comes back, all its servers cold, while callers press. Harm
-    prevented: servers that fall over and begin their cold start anew. What does not
-    divide evenly among the daemons, all of it where the bound is less than one request
-    a daemon, goes to some of them, chosen by a hash of both names, so that all agree
-    without a word.
+    When a failure domain returns, all its servers are cold while callers keep sending;
+    overloaded servers would fail and start cold again. The share that does not divide
+    evenly among the daemons (all of it if the limit is less than one request per
+    daemon) goes to some of them. They are chosen by a hash of the names of server and
+    daemon, so all daemons agree without communicating.
 
     Parameters
     ----------
     name : str
-        Of this daemon.
+        Name of this daemon.
     """
 
     name: str
     _sent_ms: dict = attrs.Factory(dict)
 
     def take(self, server, bound_per_s, daemons, now_ms):
-        """Take one request's place at a cold server, if there is one.
+        """Reserve one request to a cold server if this daemon's share allows it.
 
         Parameters
         ----------
         server : str
         bound_per_s : float
-            What the server bears in any second, from all daemons together.
+            Requests that the server can handle in any second, from all daemons
+            together.
         daemons : collection of str
             Names of all daemons; empty if they are not known.
         now_ms : float
@@ -58,25 +59,25 @@
         -------
         taken : bool
         """
-        each = self._share(server, int(bound_per_s * USED_SHARE), daemons)
+        quota = self._quota(server, int(bound_per_s * USED_RATE_SHARE), daemons)
         sent = self._sent_ms.setdefault(server, collections.deque())
         while sent and sent[0] <= now_ms - WINDOW_MS:
             sent.popleft()
-        if len(sent) >= each:
+        if len(sent) >= quota:
             return False
         sent.append(now_ms)
         return True
 
-    def _share(self, server, room, daemons):
-        """Return how many requests in a window are this daemon's."""
+    def _quota(self, server, budget, daemons):
+        """Return how many requests in a window are this daemon's share."""
         if not daemons:
-            return room // UNKNOWN_DAEMONS
-        each, rest = divmod(room, len(daemons))
-        return each + self._is_among(server, daemons, rest)
+            return budget // ASSUMED_DAEMONS
+        quota, remainder = divmod(budget, len(daemons))
+        return quota + self._gets_remainder(server, daemons, remainder)
 
-    def _is_among(self, server, daemons, n_chosen):
+    def _gets_remainder(self, server, daemons, n_chosen):
         def rank(daemon):
             return xxhash.xxh64_intdigest(f"{server} {daemon}".encode())
 
-        mine = rank(self.name)
-        return sum(rank(daemon) < mine for daemon in daemons) < n_chosen
+        own_rank = rank(self.name)
+        return sum(rank(daemon) < own_rank for daemon in daemons) < n_chosen
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,21 +1,21 @@
-"""What cold servers get from all daemons together."""
+"""Requests that servers in a cold start receive from all daemons together."""
 
 import random
 import unittest
 
-from tarragonramp.cold import UNKNOWN_DAEMONS, ColdShares
+from tarragonramp.cold import ASSUMED_DAEMONS, ColdShares
 
 
-def most_in_a_second(times_ms):
-    """Return the most of some times that lie within one second."""
+def max_per_second(times_ms):
+    """Return the largest number of the given times that lie within one second."""
     return max(sum(t <= at < t + 1000.0 for at in times_ms) for t in times_ms)
 
 
 class ColdSharesTest(unittest.TestCase):
-    """Callers press on one cold server through all daemons."""
+    """Callers send to one cold server through all daemons."""
 
-    def press(self, n_daemons, bound, known=None):
-        """Return when requests were let through, from all daemons."""
+    def send_all(self, n_daemons, bound, known=None):
+        """Return the times at which requests were let through, for all daemons."""
         names = [f"d{i}" for i in range(n_daemons)]
         shares = [ColdShares(name) for name in names]
         rng, times = random.Random(3), []
@@ -25,33 +25,35 @@
                     times.append(float(at_ms))
         return times
 
-    def test_few_slow_servers_and_many_daemons(self):
-        """A server that bears 8.6 requests a second, before nine daemons."""
-        times = self.press(9, 2.4 * 1.5 + 5)
+    def test_limit_below_one_request_per_daemon(self):
+        """A server that can handle 8.6 requests a second, and nine daemons."""
+        times = self.send_all(9, 2.4 * 1.5 + 5)
         self.assertGreater(len(times), 10)
-        self.assertLessEqual(most_in_a_second(times), 8)
+        self.assertLessEqual(max_per_second(times), 8)
 
-    def test_as_many_daemons_as_were_ever_added(self):
-        times = self.press(13, 2.4 * 1.5 + 5)
-        self.assertLessEqual(most_in_a_second(times), 8)
+    def test_thirteen_daemons(self):
+        """As many daemons as were ever added."""
+        times = self.send_all(13, 2.4 * 1.5 + 5)
+        self.assertLessEqual(max_per_second(times), 8)
 
-    def test_a_server_that_bears_more_gets_more(self):
-        times = self.press(8, 12 * 1.5 + 5)
-        self.assertLessEqual(most_in_a_second(times), 23)
+    def test_server_with_a_higher_limit_gets_more(self):
+        times = self.send_all(8, 12 * 1.5 + 5)
+        self.assertLessEqual(max_per_second(times), 23)
         self.assertGreater(len(times), 50)
 
-    def test_what_does_not_divide_evenly_is_used_too(self):
-        """A failure domain comes back cold, and callers are refused by the hundred.
+    def test_remainder_is_used(self):
+        """The remainder of the division among the daemons is used as well.
 
-        Each of eleven daemons sent one request a second to each of its servers, which
-        bear more than twenty.
+        Guards against rejecting callers by the hundred when a failure domain returns
+        cold: each of eleven daemons sent one request a second to each of its servers,
+        which can handle more than twenty.
         """
-        times = self.press(11, 11 * 1.5 + 5)
-        self.assertLessEqual(most_in_a_second(times), 17)
+        times = self.send_all(11, 11 * 1.5 + 5)
+        self.assertLessEqual(max_per_second(times), 17)
         self.assertGreater(len(times) / 5.0, 15.0)
 
-    def test_daemons_that_differ_in_how_many_they_are(self):
-        """Two daemons have just joined, and only some of the others have heard."""
+    def test_daemons_disagree_on_their_number(self):
+        """Two daemons have just joined, and only some of the others know of them."""
         bound = 11 * 1.5 + 5
         names = [f"d{i}" for i in range(11)]
         shares = [ColdShares(name) for name in names]
@@ -63,7 +65,7 @@
         )
         self.assertLessEqual(sent, bound)
 
-    def test_daemons_that_do_not_know_how_many_they_are(self):
-        times = self.press(UNKNOWN_DAEMONS, 23.0, known=[])
-        self.assertLessEqual(most_in_a_second(times) if times else 0, 23)
-        self.assertEqual(self.press(9, 8.6, known=[]), [])
+    def test_number_of_daemons_is_unknown(self):
+        times = self.send_all(ASSUMED_DAEMONS, 23.0, known=[])
+        self.assertLessEqual(max_per_second(times) if times else 0, 23)
+        self.assertEqual(self.send_all(9, 8.6, known=[]), [])
