--- a/src/tarragonramp/hotspots.py
+++ b/src/tarragonramp/hotspots.py
@@ -1,4 +1,4 @@
-"""Which busy keys should move to other servers. Pure decisions, without I/O."""
+"""Decides which ranges with hot keys move to other servers, without I/O."""
 
 import bisect
 import itertools
@@ -8,56 +8,59 @@
 
 __all__ = ["busy_servers", "spread_heat"]
 
-MAX_SPREAD = 12
-"""Most moves of busy keys begun at a time; each is refused for some milliseconds."""
+MAX_HOT_MOVES = 12
+"""Maximum number of hot ranges whose move is started at once; requests for each are
+rejected for some milliseconds."""
 
-EXCESS_SHARE, EXCESS_DEVIATIONS = 0.4, 2.0
-"""By how much of the mean, and by how many standard deviations of a count, a server has
-to have more requests than the mean before its keys move."""
+MIN_EXCESS_SHARE, MIN_EXCESS_DEVIATIONS = 0.4, 2.0
+"""By how much a server's load must exceed the mean before its keys move: as a fraction
+of the mean, and in standard deviations of a request count."""
 
-BUSY_SHARE = 0.4
-"""Part of its slots that a server must have had in use to give busy keys away; below
-that few of its requests wait."""
+MIN_UTILIZATION = 0.4
+"""Minimum utilization of a server's slots before it gives keys away; below that, few of
+its requests wait."""
 
-MOVED_SHARE = 0.6
-"""Part of the difference between two servers that may move at once: a little more than
-half, which would make them equal, as one of the two is often quicker."""
+MAX_MOVED_SHARE = 0.6
+"""Fraction of the load difference between two servers that may move at once: slightly
+more than the half that would make them equal, because one of the two is often faster.
+"""
 
-CUT_GAIN = 1.5
-"""How much more work has to move with a part of a range than with the best whole range:
-a cut range is renewed in pieces from then on."""
+MIN_SPLIT_GAIN = 1.5
+"""How much more load a part of a range must move than the best whole range does. Each
+part of a split range is renewed separately from then on."""
 
 HOT_KEY_SHARE = 0.5
-"""Part of a server that one key has to take to be worth a quicker server."""
+"""Fraction of a server's capacity that a single key must use to be moved to a faster
+server."""
 
-QUICKER = 0.75
-"""How long work may take there at most, as part of what it takes at its owner."""
+MAX_SLOWDOWN_RATIO = 0.75
+"""Maximum processing time at the faster server, relative to the current owner."""
 
 MAX_RANGES_PER_SERVER = 40
-"""Cuts end here. Load: busy places that wander over all keys, day after day. Harm
-prevented: a table, and renewals, that grow with each of them."""
+"""Ranges are not split beyond this number. Hot spots that wander over all keys for days
+would otherwise make the table and the number of renewals grow without limit."""
 
 
 @attrs.define(eq=False)
-class _Piece:
-    """A range, or what stays of one that was cut, and its work by key."""
+class _RangeLoad:
+    """A range, or a remaining part of one that was split, and its load by key."""
 
-    item: object
-    work: list
-    is_cut: bool = False
+    key_range: object
+    load_by_key: list
+    is_split: bool = False
     busy_ms: float = attrs.field(init=False)
 
     def __attrs_post_init__(self):
-        """Sum the work."""
-        self.busy_ms = sum(took_ms for _, took_ms in self.work)
+        """Sum the load."""
+        self.busy_ms = sum(took_ms for _, took_ms in self.load_by_key)
 
 
 @attrs.define(eq=False)
-class _Owner:
-    """A server, what it owns, and its work for each of its slots."""
+class _OwnerLoad:
+    """A server, the ranges it owns, and its load per slot."""
 
     candidate: object
-    pieces: list = attrs.Factory(list)
+    range_loads: list = attrs.Factory(list)
     load_ms: float = 0.0
 
     def add_load(self, took_ms):
@@ -65,52 +68,54 @@
 
 
 def spread_heat(table, candidates, heat):
-    """Return busy keys that should move to servers that have less to do.
+    """Return ranges with hot keys that should move to less loaded servers.
 
-    Load: keys become busy within seconds, they lie side by side, and many of them may
-    have one owner; servers differ in speed, and some turn slow. Harm prevented: a queue
-    before one server while others are idle. Chasing noise would cost more than it
-    brings, so only a server that is busy itself and stands out from chance gives keys
-    away, and only as many as leave the new owner with less than the old one had. A
-    range that is too busy for that is cut: what moves of it may be a single key, or all
-    on one side of the busiest.
+    Keys become hot within seconds, hot keys are often adjacent, and many of them may
+    have the same owner. Servers differ in speed, and some become slow. Without moves,
+    requests would queue at one server while others are idle.
+
+    Moving keys because of noise would cost more than it gains. Therefore only a server
+    that is busy, and whose load exceeds the mean by more than chance explains, gives
+    keys away, and only so many that the new owner ends up with less load than the old
+    one had. A range with too much load for that is split; the part that moves may be a
+    single key or all keys on one side of the hottest one.
 
     Parameters
     ----------
     table : RangeTable
     candidates : sequence of Candidate
     heat : Heat
-        Recent work.
+        Recent load.
 
     Returns
     -------
     changed : list of KeyRange
-        Those that move, and what stays where it is of ranges that were cut.
+        Ranges that move, and the remaining parts of ranges that were split.
     """
     owners = _owners(table, candidates, heat.by_key)
     if len(owners) < 2:
         return []
-    # Each move may leave two pieces more.
-    most_ranges = len(table.ranges) + 2 * (MAX_SPREAD + 1)
-    may_cut = most_ranges <= MAX_RANGES_PER_SERVER * len(owners)
-    moved = _place_hottest(owners, heat.window_ms) if may_cut else []
-    for _ in range(MAX_SPREAD):
-        fullest = max(owners, key=lambda owner: owner.load_ms)
-        emptiest = min(owners, key=lambda owner: owner.load_ms)
-        if not _stands_out(fullest, owners, heat):
+    # Each move may add two ranges.
+    max_ranges = len(table.ranges) + 2 * (MAX_HOT_MOVES + 1)
+    may_split = max_ranges <= MAX_RANGES_PER_SERVER * len(owners)
+    moved = _move_hottest_key(owners, heat.window_ms) if may_split else []
+    for _ in range(MAX_HOT_MOVES):
+        most_loaded = max(owners, key=lambda owner: owner.load_ms)
+        least_loaded = min(owners, key=lambda owner: owner.load_ms)
+        if not _is_overloaded(most_loaded, owners, heat):
             break
-        gap_ms = fullest.load_ms - emptiest.load_ms
-        most_ms = MOVED_SHARE * gap_ms * fullest.candidate.slots
-        piece = _take_piece(fullest, most_ms, may_cut)
-        if piece is None:
+        gap_ms = most_loaded.load_ms - least_loaded.load_ms
+        max_ms = MAX_MOVED_SHARE * gap_ms * most_loaded.candidate.slots
+        range_load = _pop_movable_range(most_loaded, max_ms, may_split)
+        if range_load is None:
             break
-        moved.append(_hand_over(piece, fullest, emptiest))
-    kept = [p.item for owner in owners for p in owner.pieces if p.is_cut]
+        moved.append(_reassign(range_load, most_loaded, least_loaded))
+    kept = [p.key_range for owner in owners for p in owner.range_loads if p.is_split]
     return moved + kept
 
 
 def busy_servers(table, candidates, heat):
-    """Return the names of the servers that have at least as much to do as the mean.
+    """Return the names of the servers whose load is at least the mean.
 
     Parameters
     ----------
@@ -123,115 +128,129 @@
 
 
 def _owners(table, candidates, by_key):
-    """Return the candidates with their settled ranges."""
-    owners = {c.name: _Owner(c) for c in candidates}
+    """Return the candidates with their ranges, except those being moved."""
+    owners = {c.name: _OwnerLoad(c) for c in candidates}
     keys = sorted(by_key)
-    for item in table.ranges:
-        owner = owners.get(item.owner)
-        if owner is None or owner.candidate.life != item.life or item.is_moving:
+    for key_range in table.ranges:
+        owner = owners.get(key_range.owner)
+        if (
+            owner is None
+            or owner.candidate.life != key_range.life
+            or key_range.is_moving
+        ):
             continue
-        begin = bisect.bisect_left(keys, item.first)
-        end = bisect.bisect_right(keys, item.last)
-        piece = _Piece(item, [(key, by_key[key]) for key in keys[begin:end]])
-        owner.pieces.append(piece)
-        owner.add_load(piece.busy_ms)
+        begin = bisect.bisect_left(keys, key_range.first)
+        end = bisect.bisect_right(keys, key_range.last)
+        range_load = _RangeLoad(
+            key_range, [(key, by_key[key]) for key in keys[begin:end]]
+        )
+        owner.range_loads.append(range_load)
+        owner.add_load(range_load.busy_ms)
     return list(owners.values())
 
 
-def _stands_out(fullest, owners, heat):
-    """Tell whether a server has more to do than others beyond chance, and too much."""
+def _is_overloaded(most_loaded, owners, heat):
+    """Tell whether a server is busy and its load exceeds the mean significantly."""
     mean_ms = sum(owner.load_ms for owner in owners) / len(owners)
-    chance_ms = math.sqrt(mean_ms * heat.request_ms / fullest.candidate.slots)
-    least_ms = max(EXCESS_SHARE * mean_ms, EXCESS_DEVIATIONS * chance_ms)
-    if fullest.load_ms - mean_ms <= least_ms:
+    deviation_ms = math.sqrt(mean_ms * heat.request_ms / most_loaded.candidate.slots)
+    min_excess_ms = max(
+        MIN_EXCESS_SHARE * mean_ms, MIN_EXCESS_DEVIATIONS * deviation_ms
+    )
+    if most_loaded.load_ms - mean_ms <= min_excess_ms:
         return False
-    return fullest.load_ms >= BUSY_SHARE * heat.window_ms
+    return most_loaded.load_ms >= MIN_UTILIZATION * heat.window_ms
 
 
-def _place_hottest(owners, window_ms):
-    """Move the busiest key of all to the quickest server; return what moves.
+def _move_hottest_key(owners, window_ms):
+    """Move the hottest key to the fastest server; return what moves.
 
-    Load: one key gets much of the traffic, more than a server can take. Harm prevented:
-    its callers depending on chance. It can't be divided, but servers differ two or
-    three times in speed, and so does the number of its callers that are served.
+    One key may receive more traffic than a server can handle, and how many of its
+    callers are served would then depend on which server happens to own it. The key
+    can't be split, but servers differ in speed by a factor of two or three, and the
+    number of callers served differs likewise.
     """
-    owner, piece, at, hottest_ms = max(
+    owner, range_load, at, hottest_load_ms = max(
         (
-            (owner, piece, at, took_ms)
+            (owner, range_load, at, took_ms)
             for owner in owners
-            for piece in owner.pieces
-            for at, (_, took_ms) in enumerate(piece.work)
+            for range_load in owner.range_loads
+            for at, (_, took_ms) in enumerate(range_load.load_by_key)
         ),
         key=lambda found: found[3],
         default=(None, None, 0, 0.0),
     )
-    if owner is None or hottest_ms < HOT_KEY_SHARE * window_ms * owner.candidate.slots:
+    if (
+        owner is None
+        or hottest_load_ms < HOT_KEY_SHARE * window_ms * owner.candidate.slots
+    ):
         return []
-    quickest = min(owners, key=lambda owner: owner.candidate.speed)
-    if quickest.candidate.speed > QUICKER * owner.candidate.speed:
+    fastest = min(owners, key=lambda owner: owner.candidate.speed)
+    if fastest.candidate.speed > MAX_SLOWDOWN_RATIO * owner.candidate.speed:
         return []
-    return [_hand_over(_cut(owner, piece, at, at + 1), owner, quickest)]
+    return [_reassign(_split_off(owner, range_load, at, at + 1), owner, fastest)]
 
 
-def _hand_over(piece, owner, to):
-    """Count a piece's work with its next owner; return its range on its way there."""
-    owner.add_load(-piece.busy_ms)
-    to.add_load(piece.busy_ms)
-    return piece.item.moved_to(to.candidate.name, to.candidate.life)
+def _reassign(range_load, owner, to):
+    """Account for a move in both owners' loads; return the range being moved."""
+    owner.add_load(-range_load.busy_ms)
+    to.add_load(range_load.busy_ms)
+    return range_load.key_range.moved_to(to.candidate.name, to.candidate.life)
 
 
-def _take_piece(owner, most_ms, may_cut):
-    """Take from an owner the piece with the most work up to a limit; None if none.
+def _pop_movable_range(owner, max_ms, may_split):
+    """Remove and return an owner's range with the most load up to a limit, or None.
 
-    A part of a busier piece only if it has much more.
+    Returns a part of a range with more load only if that moves considerably more.
     """
     whole = max(
-        (p for p in owner.pieces if 0 < p.busy_ms <= most_ms),
-        key=lambda piece: piece.busy_ms,
+        (p for p in owner.range_loads if 0 < p.busy_ms <= max_ms),
+        key=lambda range_load: range_load.busy_ms,
         default=None,
     )
-    best_ms = CUT_GAIN * whole.busy_ms if whole is not None else 0.0
+    best_ms = MIN_SPLIT_GAIN * whole.busy_ms if whole is not None else 0.0
     best = None
-    for piece in owner.pieces if may_cut else ():
-        if piece.busy_ms <= most_ms:
+    for range_load in owner.range_loads if may_split else ():
+        if range_load.busy_ms <= max_ms:
             continue
-        begin, end, run_ms = _busiest_run(piece.work, most_ms)
+        begin, end, run_ms = _busiest_run(range_load.load_by_key, max_ms)
         if run_ms > best_ms:
-            best, best_ms = (piece, begin, end), run_ms
+            best, best_ms = (range_load, begin, end), run_ms
     if best is not None:
-        return _cut(owner, *best)
+        return _split_off(owner, *best)
     if whole is not None:
-        owner.pieces.remove(whole)
+        owner.range_loads.remove(whole)
     return whole
 
 
-def _busiest_run(work, most_ms):
-    """Return begin, end and sum of the neighbours with the most work up to a limit."""
+def _busiest_run(load_by_key, max_ms):
+    """Return start, end and load of the most loaded adjacent keys up to a limit."""
     best, begin, sum_ms = (0, 0, 0.0), 0, 0.0
-    for end, (_, took_ms) in enumerate(work, 1):
+    for end, (_, took_ms) in enumerate(load_by_key, 1):
         sum_ms += took_ms
-        while sum_ms > most_ms:
-            sum_ms -= work[begin][1]
+        while sum_ms > max_ms:
+            sum_ms -= load_by_key[begin][1]
             begin += 1
         if sum_ms > best[2]:
             best = begin, end, sum_ms
     return best
 
 
-def _cut(owner, piece, begin, end):
-    """Cut a run of keys out of a piece of an owner, which keeps the rest; return it."""
-    item, work = piece.item, piece.work
-    first = work[begin][0] if begin else item.first
-    last = work[end][0] - 1 if end < len(work) else item.last
-    bounds = [item.first, first, last + 1, item.last + 1]
+def _split_off(owner, range_load, begin, end):
+    """Split a run of keys off a range and return it; the owner keeps the rest."""
+    key_range, load_by_key = range_load.key_range, range_load.load_by_key
+    first = load_by_key[begin][0] if begin else key_range.first
+    last = load_by_key[end][0] - 1 if end < len(load_by_key) else key_range.last
+    bounds = [key_range.first, first, last + 1, key_range.last + 1]
     parts = [
-        _Piece(attrs.evolve(item, first=low, last=high - 1), part, is_cut=True)
+        _RangeLoad(
+            attrs.evolve(key_range, first=low, last=high - 1), part, is_split=True
+        )
         for (low, high), part in zip(
             itertools.pairwise(bounds),
-            (work[:begin], work[begin:end], work[end:]),
+            (load_by_key[:begin], load_by_key[begin:end], load_by_key[end:]),
             strict=True,
         )
     ]
-    owner.pieces.remove(piece)
-    owner.pieces += [p for p in (parts[0], parts[2]) if p.item.n_keys > 0]
+    owner.range_loads.remove(range_load)
+    owner.range_loads += [p for p in (parts[0], parts[2]) if p.key_range.n_keys > 0]
     return parts[1]
--- a/tests/test_hotspots.py
+++ b/tests/test_hotspots.py
@@ -1,4 +1,4 @@
-"""Which busy keys move, judged by what callers of these keys meet."""
+"""Which hot keys move, measured by what callers of these keys get."""
 
 import heapq
 import itertools
@@ -10,7 +10,13 @@
 from hypothesis import strategies as st
 
 from tarragonramp.dealing import Candidate, first_deal
-from tarragonramp.heat import HALF_LIFE_MS, TOLD_KEYS, Heat, HeatCounts, WorkCounts
+from tarragonramp.heat import (
+    HALF_LIFE_MS,
+    MAX_REPORTED_KEYS,
+    Heat,
+    HeatCounts,
+    WorkCounts,
+)
 from tarragonramp.hotspots import MAX_RANGES_PER_SERVER, spread_heat
 from tarragonramp.manifest import N_KEYS
 from tarragonramp.ranges import GAP
@@ -24,7 +30,7 @@
 
 
 def load_of(table, work):
-    """Return the work that each owner has, by its keys."""
+    """Return the load of each owner, by its keys."""
     loads = {}
     for key, took_ms in work.items():
         owner = table.find(key).owner
@@ -32,11 +38,11 @@
     return loads
 
 
-class SpreadHeatTest(unittest.TestCase):
-    """Keys become busy, and servers slow."""
+class RebalanceTest(unittest.TestCase):
+    """Keys become hot, and servers slow."""
 
     def spread(self, table, work, n=15, request_ms=600.0, rounds=12):
-        """Move busy keys until nothing is left to move; return table and moves."""
+        """Move hot keys until none is left to move; return table and move count."""
         n_moved = 0
         for _ in range(rounds):
             heat = Heat(work, request_ms, WINDOW_MS)
@@ -47,8 +53,8 @@
             table = table.with_ranges([item.settled() for item in moved])
         return table, n_moved
 
-    def test_busy_keys_of_one_owner_are_spread(self):
-        """Five busy ranges have one owner: its callers wait while others are idle."""
+    def test_hot_ranges_of_one_owner_are_spread(self):
+        """One owner has five hot ranges; callers wait while other servers are idle."""
         table = first_deal("parts", servers(15))
         own = [item for item in table.ranges if item.owner == "s3"][:5]
         work = {item.first: 400.0 for item in table.ranges[:150]}
@@ -57,11 +63,11 @@
         after, n_moved = self.spread(table, work)
         loads = load_of(after, work)
         self.assertLess(max(loads.values()), 0.4 * max(before.values()))
-        # The five, and some of what else their owners have to do.
+        # The five ranges, and some of the owners' other ranges.
         self.assertLess(n_moved, 24)
 
-    def test_chance_moves_nothing(self):
-        """Even demand: counts of a few requests differ by chance alone."""
+    def test_random_variation_moves_nothing(self):
+        """With uniform demand, the counts of a few requests differ by chance alone."""
         rng = random.Random(7)
         table = first_deal("parts", servers(15))
         n_moved = 0
@@ -74,23 +80,24 @@
             n_moved += len(spread_heat(table, servers(15), heat))
         self.assertLess(n_moved, 20)
 
-    def test_idle_servers_keep_their_keys(self):
-        """A server that is hardly busy gains nothing by giving keys away."""
+    def test_servers_with_low_utilization_keep_their_keys(self):
+        """A server with low utilization gains nothing by giving keys away."""
         table = first_deal("parts", servers(15))
         work = {table.ranges[0].first: 900.0}
         self.assertEqual(self.spread(table, work)[1], 0)
 
-    def test_a_single_busy_key_is_not_passed_around(self):
-        """Whoever has it is the busiest: moving it would only cost."""
+    def test_single_hot_key_does_not_move(self):
+        """Its owner always has the most load, so moving the key would only cost."""
         table = first_deal("parts", servers(15))
         work = {table.ranges[0].first: 12_000.0}
         self.assertEqual(self.spread(table, work)[1], 0)
 
-    def test_the_keys_of_one_busy_range_are_divided(self):
-        """A promotion: 200 neighbouring keys take a third of all requests.
+    def test_hot_range_is_split(self):
+        """A range with 200 adjacent hot keys, a third of all requests, is split.
 
-        They all lay in one range, so whoever had it was the busiest and nothing could
-        be moved: its callers were refused for as long as the promotion lasted.
+        Guards against rejecting their callers for as long as a promotion lasts: all
+        keys were in one range, whose owner always had the most load, so nothing could
+        be moved.
         """
         table = first_deal("parts", servers(13))
         rng = random.Random(3)
@@ -104,7 +111,7 @@
         self.assertLess(max(loads.values()), 1.6 * mean)
         self.assertLess(n_moved, 30)
 
-    def test_the_owner_of_the_busiest_key_is_cleared_of_all_else(self):
+    def test_owner_of_the_hottest_key_gives_all_other_keys_away(self):
         table = first_deal("parts", servers(13))
         item = table.ranges[50]
         work = {item.first + 40: 9000.0}
@@ -114,8 +121,8 @@
         self.assertGreater(load_of(table, work)[item.owner], 16_000.0)
         self.assertLess(load_of(after, work)[owner], 9000.0 + 1300.0)
 
-    def test_a_slow_server_gives_away_what_it_works_on_for_too_long(self):
-        """As many requests everywhere, but one server takes six times as long."""
+    def test_slow_server_gives_keys_away(self):
+        """All servers get as many requests, but one takes six times as long."""
         table = first_deal("parts", servers(13))
         slow = table.ranges[0].owner
         rng = random.Random(5)
@@ -125,7 +132,7 @@
         self.assertLess(load_of(after, work)[slow], 0.4 * load_of(table, work)[slow])
         self.assertLess(n_moved, 20)
 
-    def test_a_hot_key_moves_to_the_quickest_server_once(self):
+    def test_hottest_key_moves_to_the_fastest_server_once(self):
         table = first_deal("parts", servers(13))
         item = table.ranges[50]
         candidates = [
@@ -142,8 +149,8 @@
         self.assertEqual((owned.owner, owned.n_keys), ("s4", 1))
         self.assertEqual(owned.token, 1 + GAP)
 
-    def test_cuts_end_at_a_limit(self):
-        """Busy places wander over all keys for days, and nobody joins ranges again."""
+    def test_number_of_ranges_is_limited(self):
+        """Hot spots wander over all keys for days, and ranges are never merged."""
         table = first_deal("parts", servers(4))
         rng = random.Random(1)
         for _ in range(300):
@@ -154,10 +161,10 @@
 
     @settings(max_examples=40, deadline=None)
     @given(st.integers(2, 40), st.integers(1, 8), st.integers(0, 1 << 30))
-    def test_all_keys_keep_one_owner_on_any_site(self, n, slots, seed):
-        """Other numbers of servers and slots, other skews: nothing is lost or doubled.
+    def test_every_key_keeps_exactly_one_owner(self, n, slots, seed):
+        """For any servers, slots and skew, no key is lost or duplicated.
 
-        And whoever had most has not more than before.
+        The highest load of an owner does not increase either.
         """
         rng = random.Random(seed)
         table = first_deal("parts", servers(n, slots))
@@ -183,40 +190,41 @@
 
 
 @attrs.define(eq=False)
-class KeyedPlay:
-    """Owners with slots and queues, and callers of skewed keys, in simulated time.
+class KeySimulation:
+    """Simulates owners with slots and queues, and callers with a skewed choice of keys.
 
-    An owner that would keep a caller beyond its target refuses it, as the router does.
+    An owner rejects a request that it would answer after the target, as the router
+    does. Time is simulated.
     """
 
-    speeds: list
+    slowdowns: list
     work_ms: float = 90.0
     slots: int = 4
     target_ms: float = 300.0
     seed: int = 1
 
     def run(self, per_s, for_s, hot, moves=True):
-        """Return the share of callers of divided keys that are answered in time.
+        """Return the fraction of requests for divided keys that are answered in time.
 
         Parameters
         ----------
         per_s, for_s : float
         hot : callable
-            ``hot(rng, now_ms)``: the key of the next request.
+            ``hot(rng, now_ms)`` returns the key of the next request.
         moves : bool
-            Whether busy keys move.
+            Whether hot keys move.
         """
         rng, counts = random.Random(self.seed), HeatCounts()
         owners = [
             attrs.evolve(candidate, speed=speed)
             for candidate, speed in zip(
-                servers(len(self.speeds), self.slots), self.speeds, strict=True
+                servers(len(self.slowdowns), self.slots), self.slowdowns, strict=True
             )
         ]
         table = first_deal("parts", owners)
         free = {c.name: [0.0] * self.slots for c in owners}
-        speed = {c.name: s for c, s in zip(owners, self.speeds, strict=True)}
-        now_ms, look_ms, n, good, told = 0.0, 0.0, 0, 0, WorkCounts()
+        speed = {c.name: s for c, s in zip(owners, self.slowdowns, strict=True)}
+        now_ms, last_move_ms, n, n_in_time, recorder = 0.0, 0.0, 0, 0, WorkCounts()
         while now_ms < for_s * 1000.0:
             now_ms += rng.expovariate(per_s) * 1000.0
             n += 1
@@ -225,23 +233,23 @@
             work_ms = self.work_ms * speed[name] * rng.uniform(0.6, 1.4)
             start_ms = max(now_ms, free[name][0])
             if start_ms + work_ms - now_ms <= self.target_ms:
-                good += 1
+                n_in_time += 1
                 heapq.heapreplace(free[name], start_ms + work_ms)
-                told.note("parts", key, start_ms + work_ms - now_ms)
+                recorder.note("parts", key, start_ms + work_ms - now_ms)
             else:
-                told.note("parts", key, self.work_ms)
-            if now_ms >= look_ms + 700.0:
-                look_ms = now_ms
-                counts.add(told.take({"parts": table}), now_ms)
+                recorder.note("parts", key, self.work_ms)
+            if now_ms >= last_move_ms + 700.0:
+                last_move_ms = now_ms
+                counts.add(recorder.take({"parts": table}), now_ms)
                 if moves:
                     heat = counts.heat_of("parts", now_ms)
                     changed = spread_heat(table, owners, heat)
                     table = table.with_ranges([item.settled() for item in changed])
-        return good / n
+        return n_in_time / n
 
 
 def zipf_keys(centre):
-    """Return a source of keys, of which those next to a centre are busiest."""
+    """Return a source of keys, of which those next to a centre are the hottest."""
 
     def key(rng, now_ms):
         rank = int(6000 ** rng.random() ** 0.55)
@@ -250,30 +258,33 @@
     return key
 
 
-class CallersOfBusyKeysTest(unittest.TestCase):
-    """What callers get while keys are busy, with and without moves."""
+class CallersOfHotKeysTest(unittest.TestCase):
+    """What callers get while keys are hot, with and without moves."""
 
-    SPEEDS = (0.7, 1.0, 1.0, 1.5)
+    SLOWDOWNS = (0.7, 1.0, 1.0, 1.5)
 
     def shares(self, hot_at, n=13, per_s=240.0, for_s=12.0, **settings):
-        """Return the share answered in time without and with moves.
+        """Return the fraction answered in time without and with moves.
 
-        The mean of busy places that begin with different owners.
+        The mean over hot spots that start at different owners.
         """
-        play = KeyedPlay([self.SPEEDS[i % 4] for i in range(n)], **settings)
-        places = [N_KEYS * at // 8 + 40 for at in range(8)]
+        simulation = KeySimulation(
+            [self.SLOWDOWNS[i % 4] for i in range(n)], **settings
+        )
+        hot_spots = [N_KEYS * at // 8 + 40 for at in range(8)]
         return [
-            sum(play.run(per_s, for_s, hot_at(p), moves) for p in places) / len(places)
+            sum(simulation.run(per_s, for_s, hot_at(p), moves) for p in hot_spots)
+            / len(hot_spots)
             for moves in (False, True)
         ]
 
-    def test_a_burst_on_neighbouring_keys(self):
-        """Two fifths of all requests are for 200 neighbours, for five seconds."""
+    def test_burst_on_adjacent_keys(self):
+        """Two fifths of all requests are for 200 adjacent keys, for five seconds."""
 
-        def hot_at(place):
+        def hot_at(hot_spot):
             def hot(rng, now_ms):
                 if 3000 < now_ms < 8000 and rng.random() < 0.4:
-                    return place + rng.randrange(200)
+                    return hot_spot + rng.randrange(200)
                 return rng.randrange(N_KEYS)
 
             return hot
@@ -282,22 +293,22 @@
         self.assertLess(without, 0.93)
         self.assertGreater(with_moves, without + 0.04)
 
-    def test_lasting_skew(self):
+    def test_permanent_skew(self):
         without, with_moves = self.shares(zipf_keys, per_s=320.0)
         self.assertGreater(with_moves, without + 0.04)
         self.assertGreater(with_moves, 0.85)
 
-    def test_one_key_that_no_server_can_take(self):
-        """A third of all requests are for one key, twice what its owner can do.
+    def test_key_beyond_the_capacity_of_a_server(self):
+        """A third of all requests are for one key, twice its owner's capacity.
 
-        Nothing can be divided; but the quickest server, relieved of all else, answers
-        twice as many of its callers as the others.
+        The key can't be split, but the fastest server, relieved of all other keys,
+        answers twice as many of its callers as the others would.
         """
 
-        def hot_at(place):
+        def hot_at(hot_spot):
             def hot(rng, now_ms):
                 if 2000 < now_ms < 10_000 and rng.random() < 0.35:
-                    return place
+                    return hot_spot
                 return rng.randrange(N_KEYS)
 
             return hot
@@ -307,27 +318,27 @@
         self.assertGreater(with_moves, 0.88)
 
     def test_one_slow_server(self):
-        """A neighbour on its machine makes one of nine servers six times slower."""
-        play = KeyedPlay([1.0] * 8 + [6.0], target_ms=800.0)
+        """Another process on its machine makes one of nine servers six times slower."""
+        simulation = KeySimulation([1.0] * 8 + [6.0], target_ms=800.0)
 
         def even(rng, now_ms):
             return rng.randrange(N_KEYS)
 
-        without = play.run(120.0, 15.0, even, moves=False)
-        with_moves = play.run(120.0, 15.0, even)
+        without = simulation.run(120.0, 15.0, even, moves=False)
+        with_moves = simulation.run(120.0, 15.0, even)
         self.assertGreater(with_moves, without + 0.02)
 
     def test_saturation_is_not_made_worse(self):
-        """All servers are full: moves can't help, and must not harm."""
+        """All servers are saturated: moves can't help and must not harm."""
 
-        def even(place):
+        def even(hot_spot):
             return lambda rng, now_ms: rng.randrange(N_KEYS)
 
         without, with_moves = self.shares(even, per_s=700.0)
         self.assertGreater(with_moves, without - 0.03)
 
-    def test_sites_of_other_sizes(self):
-        """Numbers of servers and slots, work and targets that no site here has."""
+    def test_other_numbers_of_servers_and_slots(self):
+        """Server counts, slots, processing times and targets that no site has."""
         for n, slots, work_ms, per_s in (
             (5, 2, 40.0, 90.0),
             (30, 8, 15.0, 5000.0),
@@ -345,10 +356,10 @@
             self.assertGreaterEqual(with_moves, without)
 
 
-class CountsTest(unittest.TestCase):
-    """What daemons tell of the work for keys."""
+class ReportTest(unittest.TestCase):
+    """What daemons report about the load by key."""
 
-    def test_half_is_forgotten_in_a_half_life(self):
+    def test_load_is_halved_in_a_half_life(self):
         counts = HeatCounts()
         counts.add({"parts": {"7": [10, 1000]}}, 50_000.0)
         heat = counts.heat_of("parts", 50_000.0 + HALF_LIFE_MS)
@@ -358,14 +369,14 @@
         heat = counts.heat_of("parts", 50_000.0 + 2 * HALF_LIFE_MS)
         self.assertAlmostEqual(heat.by_key[7], 350.0)
 
-    def test_keys_that_are_busy_no_more_are_dropped(self):
+    def test_keys_without_recent_load_are_dropped(self):
         counts = HeatCounts()
         counts.add({"parts": {k: [1, 100] for k in range(500)}}, 0.0)
         counts.add({}, 12 * HALF_LIFE_MS)
         self.assertEqual(counts.heat_of("parts", 12 * HALF_LIFE_MS).by_key, {})
 
-    def test_a_daemon_with_much_traffic_names_only_the_busiest_keys(self):
-        """The rest is told with its range, so that each owner's sum stays right."""
+    def test_only_the_hottest_keys_are_reported(self):
+        """Other keys are reported with their range, so owners' sums stay correct."""
         table = first_deal("parts", servers(13))
         work, rng = WorkCounts(), random.Random(2)
         total = {}
@@ -375,9 +386,9 @@
         for _ in range(50):
             work.note("parts", 777, 10)
         total[777] = total.get(777, 0) + 500
-        told = work.take({"parts": table})["parts"]
-        self.assertLessEqual(len(told), TOLD_KEYS + len(table.ranges))
-        self.assertGreaterEqual(told[777][1], 500)
-        by_key = {key: took_ms for key, (_, took_ms) in told.items()}
+        reported = work.take({"parts": table})["parts"]
+        self.assertLessEqual(len(reported), MAX_REPORTED_KEYS + len(table.ranges))
+        self.assertGreaterEqual(reported[777][1], 500)
+        by_key = {key: took_ms for key, (_, took_ms) in reported.items()}
         self.assertEqual(load_of(table, by_key), load_of(table, total))
         self.assertEqual(work.take({}), {})
