--- a/src/tarragonramp/dealing.py
+++ b/src/tarragonramp/dealing.py
@@ -1,4 +1,4 @@
-"""Which server each range of keys should have. Pure decisions, without I/O."""
+"""Decides which server should own each range of keys, without I/O."""
 
 import heapq
 
@@ -10,19 +10,20 @@
 __all__ = ["Candidate", "first_deal", "plan_moves"]
 
 RANGES_PER_SERVER = 18
-"""Load: busy keys that lie side by side. Harm prevented: one server owning all of
-them, at four times the mean load of its peers. Narrow ranges dealt in turn bring that
-to about twice at 16 a server; each has to be renewed, mostly across failure domains."""
+"""Number of ranges per server. Hot keys are often adjacent, so with wide ranges one
+server owns all of them, at four times the mean load. With narrow ranges assigned in
+turn, at 16 per server, the maximum is about twice the mean. Each range has to be
+renewed, mostly across failure domains."""
 
 MAX_MOVES = 48
-"""Most ranges on their way at one time. Load: a failure domain leaves, with a quarter
-of all keys. Harm prevented: hundreds of releases at once, each of which waits for
-running work, hold up the ones that are free at once."""
+"""Maximum number of ranges being moved at one time. A failure domain that leaves owns a
+quarter of all keys. Hundreds of releases at once would each wait for running requests
+and delay the ranges that are free immediately."""
 
-FAIR_SHARE, FILLED_SHARE = 0.2, 0.7
-"""A server with less than the first part of its fair share of keys gets as much as the
-second. Load: servers are added one by one. Harm prevented: keys that move at each small
-difference, or back to a server that was relieved of busy ones."""
+MIN_FAIR_SHARE, TARGET_FAIR_SHARE = 0.2, 0.7
+"""A server with less than the first fraction of its fair share of keys is given the
+second fraction. When servers are added one by one, keys would otherwise move at each
+small difference, or move back to a server that gave away hot ones."""
 
 
 @attrs.frozen
@@ -35,9 +36,9 @@
     life : int
     address : str
     slots : int
-        Requests that it works on at once.
+        Requests that it processes at once.
     speed : float
-        How long work takes there lately, as a factor; 1 as usual.
+        Factor by which the server was slower lately; 1 is usual.
     """
 
     name: str
@@ -48,7 +49,7 @@
 
 
 def first_deal(service, candidates):
-    """Return a table in which neighbouring ranges have different owners.
+    """Return a table in which adjacent ranges have different owners.
 
     Parameters
     ----------
@@ -61,103 +62,103 @@
     ranges = []
     for at, (first, last) in enumerate(even_bounds(n_ranges)):
         turn, place = divmod(at, len(ordered))
-        # Shifted by a place each turn, so that no two servers are always neighbours.
+        # Shifted by one in each round, so that no two servers are always adjacent.
         owner = ordered[(place + turn) % len(ordered)]
         ranges.append(KeyRange(first, last, owner.name, owner.life, 1))
     addresses = {candidate.name: candidate.address for candidate in ordered}
     return RangeTable(service, tuple(ranges), addresses, n_ranges)
 
 
-def plan_moves(table, candidates, stays, n_moving=0, busy=frozenset):
-    """Return the ranges that should change their owner now, as they should be.
+def plan_moves(table, candidates, may_keep, n_moving=0, busy=frozenset):
+    """Return the ranges whose owner should change now, with their new owner.
 
-    First those whose owner may not have them any more; then some for a server that
-    has far less than its share.
+    Ranges whose owner may not keep them come first; if there are none, servers with far
+    less than their fair share are given some.
 
     Parameters
     ----------
     table : RangeTable
     candidates : sequence of Candidate
         Servers that may be given keys now.
-    stays : callable
-        ``stays(KeyRange) -> bool``: whether its owner may keep it.
+    may_keep : callable
+        ``may_keep(KeyRange) -> bool``: whether its owner may keep the range.
     n_moving : int
-        How many are on their way already.
+        Number of ranges already being moved.
     busy : callable
-        Returns the names of servers that have enough to do, however few keys they own;
-        asked once, and only if one has few.
+        Returns the names of servers that have enough load, however few keys they own.
+        Called once, and only if a server has few keys.
 
     Returns
     -------
     moved : list of KeyRange
     """
-    room = MAX_MOVES - n_moving
-    if not candidates or room <= 0:
+    max_new_moves = MAX_MOVES - n_moving
+    if not candidates or max_new_moves <= 0:
         return []
     lives = {candidate.name: candidate.life for candidate in candidates}
     slots = {candidate.name: candidate.slots for candidate in candidates}
 
-    def cost(item):
-        return item.n_keys / N_KEYS
+    def key_share(key_range):
+        return key_range.n_keys / N_KEYS
 
     loads = dict.fromkeys(lives, 0.0)
-    orphans = []
-    for item in table.ranges:
-        if lives.get(item.owner) == item.life:
-            loads[item.owner] += cost(item) / slots[item.owner]
-        elif not item.is_moving and not stays(item):
-            orphans.append(item)
-    orphans.sort(key=cost, reverse=True)
+    orphaned = []
+    for key_range in table.ranges:
+        if lives.get(key_range.owner) == key_range.life:
+            loads[key_range.owner] += key_share(key_range) / slots[key_range.owner]
+        elif not key_range.is_moving and not may_keep(key_range):
+            orphaned.append(key_range)
+    orphaned.sort(key=key_share, reverse=True)
     heap = [(load, name) for name, load in loads.items()]
     heapq.heapify(heap)
     moved = []
-    for item in orphans[:room]:
+    for key_range in orphaned[:max_new_moves]:
         load, name = heapq.heappop(heap)
-        moved.append(item.moved_to(name, lives[name]))
-        load += cost(item) / slots[name]
+        moved.append(key_range.moved_to(name, lives[name]))
+        load += key_share(key_range) / slots[name]
         heapq.heappush(heap, (load, name))
-    if orphans:
+    if orphaned:
         return moved
-    return _fill_up(table, candidates, cost, room, busy)
+    return _fill_underloaded(table, candidates, key_share, max_new_moves, busy)
 
 
-def _by_owner(table, candidates):
-    """Return the settled ranges of each candidate."""
+def _settled_ranges(table, candidates):
+    """Return the ranges of each candidate that are not being moved."""
     lives = {candidate.name: candidate.life for candidate in candidates}
     by_owner = {name: [] for name in lives}
-    for item in table.ranges:
-        if lives.get(item.owner) == item.life and not item.is_moving:
-            by_owner[item.owner].append(item)
+    for key_range in table.ranges:
+        if lives.get(key_range.owner) == key_range.life and not key_range.is_moving:
+            by_owner[key_range.owner].append(key_range)
     return by_owner
 
 
-def _fill_up(table, candidates, cost, room, busy):
-    """Give servers that have far less than their share some ranges of the fullest.
+def _fill_underloaded(table, candidates, key_share, max_new_moves, busy):
+    """Give servers with far less than their fair share ranges of the most loaded ones.
 
-    Not the owner of a key so busy that it was relieved of all others.
+    Except the owner of a key so hot that the owner gave all others away.
     """
-    by_owner = _by_owner(table, candidates)
+    by_owner = _settled_ranges(table, candidates)
     lives = {candidate.name: candidate.life for candidate in candidates}
     slots = {candidate.name: candidate.slots for candidate in candidates}
     loads = dict.fromkeys(lives, 0.0)
-    for item in table.ranges:
-        if lives.get(item.owner) == item.life:
-            loads[item.owner] += cost(item) / slots[item.owner]
+    for key_range in table.ranges:
+        if lives.get(key_range.owner) == key_range.life:
+            loads[key_range.owner] += key_share(key_range) / slots[key_range.owner]
     fair = 1.0 / sum(slots.values())
-    short = [name for name in loads if loads[name] < FAIR_SHARE * fair]
-    if not short:
+    underloaded = [name for name in loads if loads[name] < MIN_FAIR_SHARE * fair]
+    if not underloaded:
         return []
-    moved, full = [], busy()
-    for name in sorted(short, key=loads.get):
-        if name in full:
+    moved, busy_names = [], busy()
+    for name in sorted(underloaded, key=loads.get):
+        if name in busy_names:
             continue
-        while loads[name] < FILLED_SHARE * fair and len(moved) < room:
-            fullest = max(loads, key=loads.get)
-            ranges = by_owner[fullest]
-            if fullest == name or len(ranges) < 2:
+        while loads[name] < TARGET_FAIR_SHARE * fair and len(moved) < max_new_moves:
+            most_loaded = max(loads, key=loads.get)
+            ranges = by_owner[most_loaded]
+            if most_loaded == name or len(ranges) < 2:
                 return moved
-            item = ranges.pop()
-            moved.append(item.moved_to(name, lives[name]))
-            loads[fullest] -= cost(item) / slots[fullest]
-            loads[name] += cost(item) / slots[name]
+            key_range = ranges.pop()
+            moved.append(key_range.moved_to(name, lives[name]))
+            loads[most_loaded] -= key_share(key_range) / slots[most_loaded]
+            loads[name] += key_share(key_range) / slots[name]
     return moved
