--- a/src/tarragonramp/meters.py
+++ b/src/tarragonramp/meters.py
@@ -13,7 +13,7 @@
     "BOUNDS_MS",
     "NOT_RUN",
     "UNKNOWN",
-    "BucketCounts",
+    "LatencyHistogram",
     "RequestMeter",
     "RequestTimes",
     "TrafficMeter",
@@ -27,7 +27,7 @@
 
 
 @attrs.define
-class BucketCounts:
+class LatencyHistogram:
     """A histogram of times.
 
     Parameters
@@ -73,10 +73,10 @@
 
 
 @attrs.define
-class _OutcomeCounts:
-    wait: BucketCounts = attrs.Factory(BucketCounts)
-    service: BucketCounts = attrs.Factory(BucketCounts)
-    total: BucketCounts = attrs.Factory(BucketCounts)
+class _OutcomeHistograms:
+    wait: LatencyHistogram = attrs.Factory(LatencyHistogram)
+    service: LatencyHistogram = attrs.Factory(LatencyHistogram)
+    total: LatencyHistogram = attrs.Factory(LatencyHistogram)
 
 
 @attrs.define
@@ -112,7 +112,7 @@
         key = (times.service, outcome)
         counts = self.by_outcome.get(key)
         if counts is None:
-            counts = self.by_outcome[key] = _OutcomeCounts()
+            counts = self.by_outcome[key] = _OutcomeHistograms()
         total_ms = now_ms - times.began_ms
         counts.wait.add(total_ms - times.service_ms)
         counts.service.add(times.service_ms)
--- a/src/tarragonramp/placement.py
+++ b/src/tarragonramp/placement.py
@@ -10,7 +10,7 @@
 
 __all__ = ["ServerView", "initial_assignment", "next_slices"]
 
-MOVE_SHARE = 0.1
+MAX_MOVING_SHARE = 0.1
 """Share of a service's slices that may be under way for balance alone.
 
 Load: a server was added and could take its whole share at once. Harm prevented:
@@ -67,20 +67,20 @@
     slices : tuple of SliceState
         Equal to the argument if there is nothing to do.
     """
-    result = [_after_release(i, item, released) for i, item in enumerate(slices)]
-    _release_unfit(result, servers)
-    _fill(result, servers, settling)
+    result = [_unowned_if_released(i, item, released) for i, item in enumerate(slices)]
+    _release_ineligible(result, servers)
+    _assign_unowned(result, servers, settling)
     _balance(result, servers)
     return tuple(result)
 
 
-def _after_release(index, item, released):
+def _unowned_if_released(index, item, released):
     if item.state == RELEASING and (index, item.token) in released:
         return SliceState(UNOWNED, "", item.token)
     return item
 
 
-def _release_unfit(result, servers):
+def _release_ineligible(result, servers):
     """Start to take slices from servers that are lost, out or no longer listed."""
     for index, item in enumerate(result):
         if item.state != OWNED:
@@ -90,7 +90,7 @@
             result[index] = SliceState(RELEASING, item.server, item.token)
 
 
-def _fill(result, servers, settling):
+def _assign_unowned(result, servers, settling):
     """Give slices without an owner to the servers furthest below their share.
 
     Load: a start of a service of 16 thousand slices on 600 servers, or the loss of a
@@ -102,7 +102,7 @@
         return
     counts = _counts(result)
     shares = _shares(len(result), servers)
-    heap = [_next_load(s, counts[s.name]) for s in servers.values() if _can_take(s)]
+    heap = [_next_load(s, counts[s.name]) for s in servers.values() if _accepts_slices(s)]
     heapq.heapify(heap)
     for index in unowned:
         # Load: the first servers to report after a start, or to a new planner. Harm
@@ -129,14 +129,14 @@
     Only whole slices above the rounded-up share move, so that a steady set of
     servers never trades slices back and forth.
     """
-    takers = [s for s in servers.values() if _can_take(s)]
+    recipients = [s for s in servers.values() if _accepts_slices(s)]
     shares = _shares(len(result), servers)
-    if not takers or not shares:
+    if not recipients or not shares:
         return
     counts = _counts(result)
-    under_way = sum(1 for item in result if item.state == RELEASING)
-    budget = max(1, int(len(result) * MOVE_SHARE)) - under_way
-    room = sum(max(0, int(shares[s.name]) - counts[s.name]) for s in takers)
+    n_releasing = sum(1 for item in result if item.state == RELEASING)
+    budget = max(1, int(len(result) * MAX_MOVING_SHARE)) - n_releasing
+    room = sum(max(0, int(shares[s.name]) - counts[s.name]) for s in recipients)
     for index, item in enumerate(result):
         if budget <= 0 or room <= 0:
             return
@@ -162,5 +162,5 @@
     return collections.Counter(s.server for s in slices if s.state == OWNED)
 
 
-def _can_take(server):
+def _accepts_slices(server):
     return server.usable and not server.lost and server.weight > 0
--- a/src/tarragonramp/reachability.py
+++ b/src/tarragonramp/reachability.py
@@ -4,7 +4,7 @@
 
 __all__ = ["Reachability"]
 
-SUSPECT_MS = 250.0
+PROBE_AFTER_MS = 250.0
 """How long the oldest request may be unanswered, with no other answer since.
 
 Load: a server that is frozen or cut off, and callers who keep asking for its keys. Harm
@@ -29,13 +29,13 @@
     _probing: bool = False
     _answered_ms: float = float("-inf")
     _sent_ms: dict[int, float] = attrs.Factory(dict)
-    _next: int = 0
+    _last_number: int = 0
 
     def sent(self, now_ms):
         """Note a request that leaves; return what :meth:`ended` wants."""
-        self._next += 1
-        self._sent_ms[self._next] = now_ms
-        return self._next
+        self._last_number += 1
+        self._sent_ms[self._last_number] = now_ms
+        return self._last_number
 
     def ended(self, number, answered, now_ms):
         """Note the end of a request.
@@ -56,8 +56,8 @@
         if self._probing or not self._sent_ms:
             return False
         oldest_ms = next(iter(self._sent_ms.values()))
-        quiet_since_ms = max(oldest_ms, self._answered_ms)
-        if now_ms - quiet_since_ms < SUSPECT_MS:
+        silent_since_ms = max(oldest_ms, self._answered_ms)
+        if now_ms - silent_since_ms < PROBE_AFTER_MS:
             return False
         self._probing = True
         return True
--- a/src/tarragonramp/request.py
+++ b/src/tarragonramp/request.py
@@ -26,7 +26,7 @@
     "request_id",
 ]
 
-INNER_PREFIX = "tarragon-"
+INTERNAL_PREFIX = "tarragon-"
 OUTCOME_HEADER = "Tarragon-Outcome"
 EXCHANGE_HEADER = "Tarragon-Exchange"
 DIRECT_HEADER = "Tarragon-Direct"
@@ -50,8 +50,8 @@
     )
 )
 # These two are set anew on every hop.
-_REQUEST_DROPPED = HOP_HEADERS | {REQUEST_ID_HEADER, TIMEOUT_HEADER}
-_PLAIN_CONNECTION = frozenset(("", "keep-alive", "close"))
+_DROPPED_REQUEST_HEADERS = HOP_HEADERS | {REQUEST_ID_HEADER, TIMEOUT_HEADER}
+_STANDARD_CONNECTION_VALUES = frozenset(("", "keep-alive", "close"))
 DEFAULT_CLASS = CallerClass("default", ())
 
 _REQUEST_ID = re.compile(r"[!-~]{1,128}\Z")
@@ -161,7 +161,7 @@
     path, _, query = target.partition("?")
     if divisor.source == "header":
         wanted = divisor.name.lower()
-        found = [_decoded(value) for name, value in headers if name == wanted]
+        found = [_decode_header(value) for name, value in headers if name == wanted]
     elif divisor.source == "query":
         fields = urllib.parse.parse_qs(query, keep_blank_values=True)
         found = fields.get(divisor.name, [])
@@ -223,11 +223,11 @@
     headers : list of (str, str)
         Names in lower case, without underscores.
     """
-    dropped = _REQUEST_DROPPED | named_by_connection(headers)
+    dropped = _DROPPED_REQUEST_HEADERS | named_by_connection(headers)
     return [
         item
         for item in headers
-        if item[0] not in dropped and not item[0].startswith(INNER_PREFIX)
+        if item[0] not in dropped and not item[0].startswith(INTERNAL_PREFIX)
     ]
 
 
@@ -243,7 +243,7 @@
     kept, echoed = [], False
     for name, value in end_to_end_answer(answer):
         lower_name = name.lower().replace("_", "-")
-        if lower_name.startswith(INNER_PREFIX):
+        if lower_name.startswith(INTERNAL_PREFIX):
             continue
         echoed = echoed or lower_name == REQUEST_ID_HEADER
         kept.append((name, value))
@@ -274,7 +274,7 @@
     """Return the names of headers that a ``Connection`` header keeps to one hop."""
     named = set()
     for name, value in headers:
-        if name == "connection" and value.lower() not in _PLAIN_CONNECTION:
+        if name == "connection" and value.lower() not in _STANDARD_CONNECTION_VALUES:
             named.update(option.strip().lower() for option in value.split(","))
     return named
 
@@ -288,7 +288,7 @@
     return parts[position : position + 1]
 
 
-def _decoded(value):
+def _decode_header(value):
     """Return a header value as the text that its bytes stand for."""
     return (
         value if value.isascii() else value.encode("latin-1").decode(errors="replace")
--- a/src/tarragonramp/retries.py
+++ b/src/tarragonramp/retries.py
@@ -26,19 +26,19 @@
 
     share: float = 0.1
     reserve: float = 5.0
-    _saved: float = attrs.field(init=False)
+    _balance: float = attrs.field(init=False)
 
     def __attrs_post_init__(self):
         """Begin with the full reserve."""
-        self._saved = self.reserve
+        self._balance = self.reserve
 
     def earn(self):
         """Note the first send of a request."""
-        self._saved = min(self.reserve, self._saved + self.share)
+        self._balance = min(self.reserve, self._balance + self.share)
 
     def spend(self):
         """Take one extra send; False if there is none left."""
-        if self._saved < 1.0:
+        if self._balance < 1.0:
             return False
-        self._saved -= 1.0
+        self._balance -= 1.0
         return True
--- a/src/tarragonramp/spreading.py
+++ b/src/tarragonramp/spreading.py
@@ -1,10 +1,10 @@
-"""Who watches the platform and who learns from whom: decisions without I/O.
+"""Decides which daemons watch the platform and which get updates from a daemon.
 
-Each platform watch counts as a call, so only a few daemons of a failure domain keep
-one. The others form a tree below them and wait for their parent's news. All place
-the daemons in the same order, by a hash of their names, so nothing is agreed on;
-a parent always comes before its children in that order, so there is no cycle even
-while daemons differ in whom they suspect.
+Each watch of the platform counts as a call, so only a few daemons of a failure domain
+keep one. The others form a tree below them and wait for updates from their parent. All
+daemons order each other by a hash of their names, so the tree needs no coordination. A
+parent always precedes its children in that order, so there is no cycle even while
+daemons disagree about which of them are suspected.
 """
 
 import attrs
@@ -21,35 +21,36 @@
 ]
 
 PLATFORM = ""
-"""Stands for the platform where else a daemon's name does."""
+"""Stands for the platform where otherwise a daemon's name is given."""
 
-CHILDREN = 4
-"""Daemons that wait for one daemon's news.
+MAX_CHILDREN = 4
+"""Number of daemons that wait for updates from one daemon.
 
-Load: a change reaches all daemons of a failure domain at once. Harm prevented: one
-that answers everybody, or, with one child each, as many hops as there are daemons.
-Four take 132 daemons in four hops and cost a parent four waiting requests.
+A change reaches all daemons of a failure domain at once. Without a limit, one daemon
+would answer all others; with one child each, there would be as many hops as daemons.
+With four, 132 daemons are four hops deep, and a parent has four waiting requests.
 """
 
-SUSPECT_MS = 3000
-"""How long a silent daemon is passed over before it is asked again."""
+SUSPICION_MS = 3000
+"""How long a silent daemon is not used as a source."""
 
-LAG_MS = 300
-"""How long a neighbour may be ahead before its news is pulled from it.
+MAX_LAG_MS = 300
+"""How long a neighbour may have newer data before its updates are fetched.
 
-Two pings long: news on its ordinary way arrives sooner. A watch or a parent that is
-lost without closing, frozen, or served an old state is noticed by this alone.
+Twice the ping interval, because updates normally arrive sooner. This is the only
+detection of a watch or parent that is lost without a closed connection, frozen, or
+served an old state.
 """
 
-RETRY_MS = 200
+MIN_RETRY_MS = 200
 MAX_RETRY_MS = 1000
 FALLBACK_BASE_MS = 1000
 FALLBACK_PER_DAEMON_MS = 20
-START_PER_DAEMON_MS = 5
+START_DELAY_PER_DAEMON_MS = 5
 
 
 def source_of(me, members, n_watchers, usable):
-    """Decide where a daemon gets its news.
+    """Choose where a daemon gets its updates.
 
     Parameters
     ----------
@@ -57,93 +58,98 @@
     members : dict of str to Member
         All known daemons; ``me`` need not be among them.
     n_watchers : int
-        How many of a failure domain watch the platform.
+        Number of daemons of a failure domain that watch the platform.
     usable : callable
-        ``usable(name)`` is False for a daemon that is suspected to be silent. A
-        silent watcher's first child moves up and watches in its place.
+        ``usable(name)`` is False for a daemon that is suspected to be down. The first
+        child of a suspected watcher watches in its place.
 
     Returns
     -------
     name : str
         PLATFORM if this daemon has to watch the platform itself.
     """
-    order = _order(m.name for m in members.values() if _is_near(me, m))
+    order = _hash_order(m.name for m in members.values() if _in_same_domain(me, m))
     if me.name not in order:
-        order = _order([*order, me.name])
+        order = _hash_order([*order, me.name])
     order = [name for name in order if name == me.name or usable(name)]
     rank = order.index(me.name)
     if rank < n_watchers:
         return PLATFORM
-    return order[(rank - n_watchers) // CHILDREN]
+    return order[(rank - n_watchers) // MAX_CHILDREN]
 
 
 def outside_sources(me, members, n_watchers, usable):
     """Return watchers of other failure domains.
 
-    A failure domain may be cut off from the platform and not from its peers.
+    A failure domain may lose its connection to the platform but not to its peers.
 
     Returns
     -------
     names : list of str
-        The nearest in an order that differs by daemon, so that a failure domain
-        does not ask one daemon only.
+        Ordered differently for each daemon, so that the daemons of a failure domain do
+        not all ask the same watcher first.
     """
     by_domain = {}
     for member in members.values():
-        if not _is_near(me, member) and usable(member.name):
+        if not _in_same_domain(me, member) and usable(member.name):
             by_domain.setdefault(member.failure_domain, []).append(member.name)
-    names = [name for near in by_domain.values() for name in _order(near)[:n_watchers]]
+    names = [
+        name
+        for domain_names in by_domain.values()
+        for name in _hash_order(domain_names)[:n_watchers]
+    ]
     return sorted(names, key=lambda name: _hash(f"{me.name}/{name}"))
 
 
-def retry_ms(n_failures, draw):
-    """Return the wait before the platform is asked again.
+def retry_ms(n_failures, jitter):
+    """Return how long to wait before the platform is called again.
 
-    Load: an outage of the platform meets every watcher at once. Harm prevented: all
-    of them asking in step when it comes back.
+    An outage of the platform affects all watchers at once. The wait is randomized so
+    that they do not all call at once when the platform is back.
 
     Parameters
     ----------
     n_failures : int
-        In a row, at least 1.
-    draw : float
+        Consecutive failures, at least 1.
+    jitter : float
         Uniformly drawn from [0, 1).
     """
-    steady_ms = min(MAX_RETRY_MS, RETRY_MS * 2 ** min(n_failures - 1, 10))
-    return steady_ms * (0.5 + draw)
+    backoff_ms = min(MAX_RETRY_MS, MIN_RETRY_MS * 2 ** min(n_failures - 1, 10))
+    return backoff_ms * (0.5 + jitter)
 
 
-def fallback_ms(n_members, draw):
-    """Return how long a daemon whose source has lost the platform waits to ask it.
+def fallback_ms(n_members, jitter):
+    """Return how long a daemon waits to call the platform if its source has lost it.
 
-    Load: the platform is out of reach, for all or for some. Harm prevented: a fleet
-    that polls it; the wait grows with the fleet, so the calls do not.
+    The wait grows with the number of daemons, so that a fleet cut off from the
+    platform, as a whole or in part, does not poll it at a rate that grows with the
+    fleet.
     """
-    return (FALLBACK_BASE_MS + FALLBACK_PER_DAEMON_MS * n_members) * (0.5 + draw)
+    return (FALLBACK_BASE_MS + FALLBACK_PER_DAEMON_MS * n_members) * (0.5 + jitter)
 
 
-def start_delay_ms(n_members, draw):
-    """Return how long a starting daemon waits before it writes.
+def start_delay_ms(n_members, jitter):
+    """Return how long a starting daemon waits before it writes to the platform.
 
-    Load: the whole fleet starts at once. Harm prevented: more writes a second than
-    the platform takes; 5 ms a daemon are 200 a second for any fleet.
+    If the whole fleet starts at once, the writes must not exceed the rate that the
+    platform accepts; 5 ms per daemon are 200 writes a second for a fleet of any size.
     """
-    return START_PER_DAEMON_MS * n_members * draw
+    return START_DELAY_PER_DAEMON_MS * n_members * jitter
 
 
 @attrs.define
 class Sources:
-    """What one daemon believes of the daemons it could learn from."""
+    """State of the daemons from which one daemon could get updates."""
 
     _suspected_until_ms: dict = attrs.Factory(dict)
     _ahead_since_ms: dict = attrs.Factory(dict)
 
     def suspect(self, name, now_ms):
-        """Pass over a daemon that did not answer."""
-        self._suspected_until_ms[name] = now_ms + SUSPECT_MS
+        """Stop using a daemon that did not answer, for some time."""
+        self._suspected_until_ms[name] = now_ms + SUSPICION_MS
 
     def trust(self, name):
-        """Take a daemon that answered as usable again."""
+        """Use a daemon that answered again."""
         self._suspected_until_ms.pop(name, None)
 
     def usable(self, name, now_ms):
@@ -151,12 +157,12 @@
         return self._suspected_until_ms.get(name, 0.0) <= now_ms
 
     def lags(self, name, newest, own_newest, now_ms):
-        """Take in a neighbour's newest version; True if its news must be pulled.
+        """Record a neighbour's newest version; True if its updates have to be fetched.
 
         Parameters
         ----------
         name : str
-            Of the neighbour.
+            Name of the neighbour.
         newest, own_newest : int
             Highest version that the neighbour and this daemon have seen.
         now_ms : float
@@ -165,14 +171,14 @@
             self._ahead_since_ms.pop(name, None)
             return False
         since_ms = self._ahead_since_ms.setdefault(name, now_ms)
-        return now_ms - since_ms >= LAG_MS
+        return now_ms - since_ms >= MAX_LAG_MS
 
 
-def _is_near(me, member):
+def _in_same_domain(me, member):
     return member.failure_domain == me.failure_domain
 
 
-def _order(names):
+def _hash_order(names):
     return sorted(names, key=lambda name: (_hash(name), name))
 
 
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tarragonramp.reachability import SUSPECT_MS, Reachability
+from tarragonramp.reachability import PROBE_AFTER_MS, Reachability
 
 
 class ReachabilityTest(unittest.TestCase):
@@ -16,10 +16,10 @@
         """
         reach = Reachability()
         reach.sent(0.0)
-        self.assertFalse(reach.should_probe(SUSPECT_MS - 1))
-        self.assertTrue(reach.should_probe(SUSPECT_MS))
-        self.assertFalse(reach.should_probe(SUSPECT_MS + 1))
-        self.assertFalse(reach.probed(False, 2 * SUSPECT_MS))
+        self.assertFalse(reach.should_probe(PROBE_AFTER_MS - 1))
+        self.assertTrue(reach.should_probe(PROBE_AFTER_MS))
+        self.assertFalse(reach.should_probe(PROBE_AFTER_MS + 1))
+        self.assertFalse(reach.probed(False, 2 * PROBE_AFTER_MS))
         self.assertTrue(reach.down)
         self.assertTrue(reach.probed(True, 9000.0))
         self.assertFalse(reach.down)
@@ -45,4 +45,4 @@
         reach.ended(reach.sent(0.0), True, 5.0)
         for _ in range(50):
             reach.sent(60_000.0)
-        self.assertFalse(reach.should_probe(60_000.0 + SUSPECT_MS - 1))
+        self.assertFalse(reach.should_probe(60_000.0 + PROBE_AFTER_MS - 1))
--- a/tests/test_spreading_site.py
+++ b/tests/test_spreading_site.py
@@ -1,4 +1,4 @@
-"""News of the platform among real daemons of which only a few watch it."""
+"""Updates from the platform among real daemons, only a few of which watch it."""
 
 import json
 import shutil
@@ -15,10 +15,10 @@
 from tarragonramp.spreading import PLATFORM, source_of
 
 SPECS = [DaemonSpec(f"entry-{i}", "a") for i in range(7)]
-IN_FORCE_LIMIT_S = 15.0
+WAIT_LIMIT_S = 15.0
 
 
-def ranked():
+def watchers_first():
     """Return the daemons' names, watchers first."""
     members = {s.name: Member(s.name, "", "a", "", "") for s in SPECS}
     watchers = [
@@ -39,19 +39,19 @@
         self.site.start_platform()
         for spec in SPECS:
             self.site.start_daemon(spec)
-        self.names = ranked()
+        self.names = watchers_first()
         self.site.wait_ready(self.names)
-        self.wait_in_force(self.write("FailureDomain", "b", {"state": "in"}))
+        self.wait_until_known(self.write("FailureDomain", "b", {"state": "in"}))
 
     def write(self, kind, name, spec, version=0):
-        """Write an object past all daemons; return its version."""
+        """Write an object directly to the platform; return its version."""
         target = f"/v1/objects/{kind}/{name}?version={version}"
         pool = HttpPool(self.site.platform_address)
         answer = pool.exchange("PUT", target, (), json.dumps(spec).encode(), 2000)
         return json.loads(answer.unwrap().body)["version"]
 
     def news(self, name, since):
-        """Return what a daemon knows beyond a version, as its followers get it."""
+        """Return a daemon's updates since a version, as its followers receive them."""
         question = NewsQuestion(since, since, "", True, 0)
         address = self.site.settings[name]["control_address"]
         body = json.dumps(attrs.asdict(question)).encode()
@@ -59,75 +59,75 @@
         return json.loads(answer.unwrap().body)
 
     def view_version(self, name):
-        """Return the version up to which a daemon knows everything."""
+        """Return the version up to which a daemon knows all changes."""
         return self.news(name, 1_000_000)["version"]
 
     def object_version(self, name, kind, wanted):
-        """Return the version at which a daemon holds an object; 0 if it has none."""
+        """Return the version of an object that a daemon holds; 0 if it has none."""
         items = self.news(name, 0)["items"]
         return max(
             (i["version"] for i in items if (i["kind"], i["name"]) == (kind, wanted)),
             default=0,
         )
 
-    def wait_in_force(self, version, names=None):
-        """Wait until daemons know everything up to a version."""
-        until_s = time.monotonic() + IN_FORCE_LIMIT_S
+    def wait_until_known(self, version, names=None):
+        """Wait until daemons know all changes up to a version."""
+        until_s = time.monotonic() + WAIT_LIMIT_S
         behind = list(names or self.names)
         while behind and time.monotonic() < until_s:
             behind = [name for name in behind if self.view_version(name) < version]
             time.sleep(0.02)
         self.assertEqual(behind, [])
 
-    def wait_watches(self, count):
-        """Wait until so many watches wait at the platform, and hold it there."""
-        until_s = time.monotonic() + IN_FORCE_LIMIT_S
+    def wait_for_watches(self, count):
+        """Wait until the number of waiting watches is stable at a count."""
+        until_s = time.monotonic() + WAIT_LIMIT_S
         seen = []
         while time.monotonic() < until_s and seen[-5:] != [count] * 5:
             seen.append(self.site.platform("calls")["waiting_watches"])
             time.sleep(0.05)
         self.assertEqual(seen[-5:], [count] * 5)
 
-    def test_two_watch_and_all_know(self):
-        self.wait_watches(2)
+    def test_two_daemons_watch_and_all_are_updated(self):
+        self.wait_for_watches(2)
         before = self.site.platform("calls")["calls"]
         version = 0
         for state in ("out", "in", "out"):
             version = self.write("FailureDomain", "c", {"state": state}, version)
-            self.wait_in_force(version)
+            self.wait_until_known(version)
         calls = self.site.platform("calls")["calls"]
         self.assertEqual(calls["GET objects"], before["GET objects"])
-        self.wait_watches(2)
+        self.wait_for_watches(2)
 
-    def test_killed_and_frozen_watchers_keep_nobody_from_a_change(self):
-        """An operator takes a failure domain out while both watchers are gone.
+    def test_killed_and_frozen_watchers_are_replaced(self):
+        """A failure domain is taken out of service while both watchers are down.
 
-        The one is killed, so its connections close; the other is frozen, so that
-        nothing closes and its followers only wait. Without another to take their
-        place every follower would go on sending work to the failure domain.
+        One is killed, so its connections close; the other is frozen, so no connection
+        closes and its followers only wait. If no daemon replaced them, all followers
+        would keep sending requests to the failure domain.
         """
         killed, frozen, *others = self.names
         self.site.kill(killed)
         self.site.signal(frozen, signal.SIGSTOP)
         version = self.write("FailureDomain", "c", {"state": "out"})
-        self.wait_in_force(version, others)
+        self.wait_until_known(version, others)
         self.site.signal(frozen, signal.SIGCONT)
-        self.wait_in_force(version, [frozen])
+        self.wait_until_known(version, [frozen])
 
     def test_a_platform_that_shows_the_past_reverts_nobody(self):
-        """The platform's reads go back to an old state while operators write on.
+        """The platform's reads return an old state while operators continue to write.
 
-        A daemon that took what it reads for the truth would bring a failure domain back
-        that was taken out. Its peers' newer versions have to win, and to reach
-        everybody.
+        Guards against a daemon that trusts these reads and brings a failure domain back
+        that was taken out of service. Its peers' newer versions must prevail and reach
+        all daemons.
         """
-        before = self.order_domain("in", 0)
-        self.wait_in_force(before)
+        before = self.set_domain_state("in", 0)
+        self.wait_until_known(before)
         self.site.platform("faults", {"freeze_reads": True})
-        self.wait_watches(2)
-        written = self.order_domain("out", before)
+        self.wait_for_watches(2)
+        written = self.set_domain_state("out", before)
         versions = dict.fromkeys(self.names, 0)
-        until_s = time.monotonic() + IN_FORCE_LIMIT_S
+        until_s = time.monotonic() + WAIT_LIMIT_S
         while min(versions.values()) < written and time.monotonic() < until_s:
             for name in self.names:
                 now = self.object_version(name, "FailureDomain", "a")
@@ -135,10 +135,10 @@
                 versions[name] = now
         self.assertEqual(set(versions.values()), {written})
         self.site.platform("faults", {"freeze_reads": False})
-        self.wait_in_force(written)
+        self.wait_until_known(written)
 
-    def order_domain(self, state, version):
-        """Order failure domain a in or out; return the version written."""
+    def set_domain_state(self, state, version):
+        """Set the state of failure domain a as an operator; return its version."""
         address = self.site.settings[self.names[0]]["control_address"]
         answer = HttpPool(address).exchange(
             "PUT",
