--- a/src/tarragonramp/balancing.py
+++ b/src/tarragonramp/balancing.py
@@ -340,10 +340,10 @@
         only a fraction of one in time, and the time spent on it is lost to others.
 
         The maximum queue length is computed from the server's typical speed, not its
-        current one. Other processes on the machine slow a server down for short
-        periods. A caller rejected because of one would retry too late for its target,
-        and rejecting it would gain little for the requests behind it, because a short
-        queue drains soon afterwards.
+        current one. A noisy neighbour slows a server down for short periods. A caller
+        rejected in such a period would retry too late for its target, and rejecting it
+        would gain little for the requests behind it, because a short queue drains soon
+        afterwards.
         """
         stats = self._stats_of(server.name)
         work_ms = self.work_ms(requirements.route)
--- a/src/tarragonramp/placement.py
+++ b/src/tarragonramp/placement.py
@@ -1,4 +1,4 @@
-"""Which backend server owns which slices: decisions of the planner, without I/O."""
+"""Decides which backend server owns which slices, for the planner, without I/O."""
 
 import collections
 import heapq
@@ -11,28 +11,28 @@
 __all__ = ["ServerView", "initial_assignment", "next_slices"]
 
 MAX_MOVING_SHARE = 0.1
-"""Share of a service's slices that may be under way for balance alone.
+"""Maximum fraction of a service's slices that may be moved at once for balance alone.
 
-Load: a server was added and could take its whole share at once. Harm prevented:
-a cold server that is owner of more than it bears, and callers of a tenth of the
-keys at most waiting for a move at any moment.
+An added server could otherwise take its whole share at once: it would be cold and own
+more than it can handle, and the callers of all these keys would wait for the moves.
+This way, callers of at most a tenth of the keys wait at any time.
 """
 
 
 @attrs.frozen
 class ServerView:
-    """What the planner knows of a backend server.
+    """State of a backend server as the planner knows it.
 
     Parameters
     ----------
     name : str
     weight : float
-        Share of the slices it should own, against the others' weights; 0 takes
-        everything away from it.
+        Share of the slices it should own, relative to the others' weights; with 0 it
+        loses all of its slices.
     usable : bool
         Whether it may become an owner now.
     lost : bool
-        Whether it should lose what it owns although nobody asked it to.
+        Whether it should lose its slices although no operator requested it.
     """
 
     name: str
@@ -42,25 +42,25 @@
 
 
 def initial_assignment(team, service, n_slices):
-    """Return the assignment in which nobody owns anything."""
+    """Return an assignment in which no slice has an owner."""
     return Assignment(team, service, (SliceState(),) * n_slices)
 
 
 def next_slices(slices, servers, released, settling=False):
-    """Take every step towards the wanted owners that is safe now.
+    """Take every step towards the intended owners that is safe now.
 
-    A move goes through ``releasing``; a new owner is written only once the old
-    one is proved to have none of the slice.
+    A move goes through ``releasing``; a new owner is assigned only once the old one is
+    proved to have released the slice.
 
     Parameters
     ----------
     slices : sequence of SliceState
     servers : dict of str to ServerView
     released : set of (int, int)
-        Slice and token pairs whose old owner is proved to have let go.
+        Slice and token pairs whose old owner is proved to have released the slice.
     settling : bool, default=False
-        Whether servers that are not usable may yet turn out to be: nobody is given
-        more than its share meanwhile.
+        Whether servers that are not usable may still become usable. Until then, no
+        server is given more than its share.
 
     Returns
     -------
@@ -81,7 +81,7 @@
 
 
 def _release_ineligible(result, servers):
-    """Start to take slices from servers that are lost, out or no longer listed."""
+    """Start releasing the slices of servers that are lost, weighted 0 or not listed."""
     for index, item in enumerate(result):
         if item.state != OWNED:
             continue
@@ -91,23 +91,25 @@
 
 
 def _assign_unowned(result, servers, settling):
-    """Give slices without an owner to the servers furthest below their share.
+    """Assign slices without an owner to the servers furthest below their share.
 
-    Load: a start of a service of 16 thousand slices on 600 servers, or the loss of a
-    failure domain. Harm prevented: a planner that looks at each server for each slice
-    keeps its core for seconds, and its daemon renews no grant meanwhile.
+    Uses a heap: when a service of 16 thousand slices starts on 600 servers, or a
+    failure domain is lost, comparing all servers for each slice would occupy the
+    planner's core for seconds, during which its daemon renews no grants.
     """
     unowned = [i for i, item in enumerate(result) if item.state == UNOWNED]
     if not unowned:
         return
     counts = _counts(result)
     shares = _shares(len(result), servers)
-    heap = [_next_load(s, counts[s.name]) for s in servers.values() if _accepts_slices(s)]
+    heap = [
+        _next_load(s, counts[s.name]) for s in servers.values() if _accepts_slices(s)
+    ]
     heapq.heapify(heap)
     for index in unowned:
-        # Load: the first servers to report after a start, or to a new planner. Harm
-        # prevented: the first of them owns every key, cold as it is, and most keys
-        # move again a moment later.
+        # After a start, or with a new planner, the servers report one after the other.
+        # Without this limit, the first one would own all keys while it is cold, and
+        # most of them would move again a moment later.
         while settling and heap and counts[heap[0][1]] >= math.ceil(shares[heap[0][1]]):
             heapq.heappop(heap)
         if not heap:
@@ -119,15 +121,15 @@
 
 
 def _next_load(server, n_owned):
-    """Return what a server would carry with one more slice; names break ties."""
+    """Return a server's load with one more slice; names break ties."""
     return (n_owned + 1) / server.weight, server.name
 
 
 def _balance(result, servers):
     """Move slices from servers above their share to those below, a few at a time.
 
-    Only whole slices above the rounded-up share move, so that a steady set of
-    servers never trades slices back and forth.
+    Only whole slices above the rounded-up share move, so that an unchanged set of
+    servers never moves slices back and forth.
     """
     recipients = [s for s in servers.values() if _accepts_slices(s)]
     shares = _shares(len(result), servers)
@@ -151,7 +153,7 @@
 
 
 def _shares(n_slices, servers):
-    """Return how many slices each server should own, by its weight; empty for none."""
+    """Return how many slices each server should own by its weight, or an empty dict."""
     total_weight = sum(s.weight for s in servers.values() if not s.lost)
     if total_weight <= 0:
         return {}
--- a/src/tarragonramp/sightings.py
+++ b/src/tarragonramp/sightings.py
@@ -23,8 +23,8 @@
 PEER_COUNT_LAG_MS = 200.0
 """Average age of the other daemons' request counts when they arrive by way of the
 leader. A report from the server itself takes precedence if it is newer. All daemons
-send requests to the owners of hot keys at once; with outdated counts, this daemon
-would miss a queue there, or assume one that is already gone."""
+send requests to the owners of hot keys at once; with outdated counts, this daemon would
+miss a queue there, or assume one that is already gone."""
 
 PEER_COUNT_TTL_MS = 1500.0
 """How long the other daemons' request counts are used: three times as long as they take
@@ -34,9 +34,9 @@
 """Half-life of the slowness in a load report, which changes many times a second."""
 
 DECAY_HALF_LIFE_MS = 2500.0
-"""Half-life of the slowdown and failure rate of a server that sends no responses. Other
-processes on the machine may slow a server down for seconds. Because slow servers
-receive no requests, their recovery would otherwise never be noticed."""
+"""Half-life of the slowdown and failure rate of a server that sends no responses. A
+noisy neighbour may slow a server down for seconds. Because slow servers receive no
+requests, their recovery would otherwise never be noticed."""
 
 
 @attrs.frozen
--- a/src/tarragonramp/stragglers.py
+++ b/src/tarragonramp/stragglers.py
@@ -1,7 +1,7 @@
-"""Which servers of a shared service are passed over for a moment.
+"""Ejects slow or failed servers of a shared service for a moment.
 
-Pure decisions on an entry's own observations: servers' load reports lag behind a
-straggler's moment, and health checks pass during it.
+Decisions without I/O, based on one entry's own observations: a server's load reports
+lag behind a short slowdown, and its health checks pass during it.
 """
 
 import math
@@ -12,29 +12,30 @@
 __all__ = ["Ejections"]
 
 EJECTION_MS = 1000.0
-"""Load: a server slowed by a neighbour for moments, or gone. Harm prevented: callers
-that wait for it while its peers are idle. A second is about such a moment; if it
-lasts, the server is found slow again after a few requests."""
+"""How long a server is ejected. Otherwise, callers would wait for a server that is
+down, or slowed by a noisy neighbour, while other servers are idle. Such a slowdown
+lasts about a second; if it lasts longer, the server is ejected again after a few
+requests."""
 
 MAX_EJECTED_SHARE = 0.34
-"""Largest part of a service's servers that is passed over. Load: all servers slow, as
-after a common cause. Harm prevented: the few left taking everything and falling over.
-A third leaves room for the loss of one failure domain of four and a straggler."""
+"""Maximum fraction of a service's servers that is ejected. If all servers are slow, for
+example from a common cause, the few remaining ones would be overloaded and fail. A
+third covers the loss of one failure domain of four and one more slow server."""
 
 OUTLIER_RATIO = 3.0
-"""Geometric mean of latency over the peers' median, from which a server is a
-straggler. Below that, differences are those of keys and of ordinary load."""
+"""Ratio of a server's geometric mean latency to the median of all servers above which
+it is ejected. Smaller differences are caused by the keys and by ordinary load."""
 
 THRESHOLD_TTL_MS = 20.0
-"""How long the comparison of the peers is kept: it grows with their number, and would
-else be made for every answer."""
+"""How long the computed threshold is used. Its cost grows with the number of servers,
+and it would otherwise be computed for every response."""
 
 MIN_ANSWERS = 10
 LOG_LATENCY_EWMA_WEIGHT = 0.05
-"""Answers before a server is judged, and weight of the newest. Load: long work among
-short. Harm prevented: a server passed over for a few long answers; the mean is
-geometric for the same reason. Some ten answers ten times as slow as the peers' are
-enough."""
+"""Number of responses before a server is judged, and weight of the newest one. A server
+must not be ejected for a few long requests among short ones; the mean is geometric for
+the same reason. About ten responses that take ten times as long as those of the other
+servers are enough."""
 
 MIN_LATENCY_MS = 0.1
 
@@ -48,14 +49,14 @@
 
 @attrs.define(eq=False, repr=False)
 class Ejections:
-    """What one entry has seen of the servers of one service."""
+    """What one entry has observed of the servers of one service."""
 
     _latencies: dict = attrs.Factory(dict)
     _log_threshold: float = math.inf
     _threshold_until_ms: float = 0.0
 
     def note_answer(self, server, took_ms, now_ms):
-        """Take in how long an answer took.
+        """Record the time of a response.
 
         Parameters
         ----------
@@ -64,11 +65,13 @@
         """
         latency = self._latencies.setdefault(server, _ServerLatency())
         if latency.ejected_until_ms > now_ms:
-            # Of a request sent before.
+            # The request was sent before the ejection.
             return
         latency.n_answers += 1
         weight = max(LOG_LATENCY_EWMA_WEIGHT, 1.0 / latency.n_answers)
-        latency.log_mean += weight * (math.log(max(took_ms, MIN_LATENCY_MS)) - latency.log_mean)
+        latency.log_mean += weight * (
+            math.log(max(took_ms, MIN_LATENCY_MS)) - latency.log_mean
+        )
         if latency.n_answers < MIN_ANSWERS:
             return
         if now_ms >= self._threshold_until_ms:
@@ -78,7 +81,7 @@
             self.eject(server, now_ms)
 
     def _outlier_log_threshold(self):
-        """Return the log of the latency from which a server is a straggler."""
+        """Return the log of the latency above which a server is ejected."""
         logs = [
             latency.log_mean
             for latency in self._latencies.values()
@@ -89,13 +92,14 @@
         return statistics.median_low(logs) + math.log(OUTLIER_RATIO)
 
     def eject(self, server, now_ms):
-        """Pass a server over for a moment; afterwards it is judged anew."""
+        """Eject a server for a moment; its latency is measured anew afterwards."""
         self._latencies[server] = _ServerLatency(ejected_until_ms=now_ms + EJECTION_MS)
 
     def usable(self, routes, now_ms):
-        """Return the routes that are not passed over.
+        """Return the routes whose servers are not ejected.
 
-        If more are ejected than may be, those whose time ends first are used again.
+        If more servers are ejected than the limit allows, those whose ejection ends
+        first are used.
 
         Parameters
         ----------
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -227,7 +227,7 @@
         self.assertGreater(answered, 0.9 * 300 * 10)
 
     def test_slow_server(self):
-        """Another process on the machine slows the server tenfold for two seconds."""
+        """A noisy neighbour slows the server tenfold for two seconds."""
         slow = lambda now_ms: 10.0 if 3000 < now_ms < 5000 else 1.0
         simulation = Simulation(n_entries=3, slowdown=slow)
         simulation.offer(40, CLAIM, 10_000)
--- a/tests/test_hotspots.py
+++ b/tests/test_hotspots.py
@@ -318,7 +318,7 @@
         self.assertGreater(with_moves, 0.88)
 
     def test_one_slow_server(self):
-        """Another process on its machine makes one of nine servers six times slower."""
+        """A noisy neighbour makes one of nine servers six times slower."""
         simulation = KeySimulation([1.0] * 8 + [6.0], target_ms=800.0)
 
         def even(rng, now_ms):
--- a/tests/test_placement.py
+++ b/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Planner decisions: callers' keys keep their owners wherever they can."""
+"""Decisions of the planner: slices keep their owners wherever possible."""
 
 import collections
 import unittest
@@ -14,7 +14,7 @@
 
 
 def settled(servers):
-    """Return slices after the planner has nothing left to do."""
+    """Return the slices once the planner changes nothing any more."""
     slices = (SliceState(),) * N_SLICES
     for _ in range(200):
         released = {(i, s.token) for i, s in enumerate(slices)}
@@ -22,22 +22,22 @@
         if new == slices:
             return slices
         slices = new
-    raise AssertionError("the planner never settles")
+    raise AssertionError("the planner does not converge")
 
 
 def counts(slices):
-    """Return slices owned by server."""
+    """Return the number of slices that each server owns."""
     return collections.Counter(s.server for s in slices if s.state == "owned")
 
 
 class PlacementTest(unittest.TestCase):
     """Steps of the planner."""
 
-    def test_slices_are_shared_evenly(self):
+    def test_slices_are_distributed_evenly(self):
         found = counts(settled(views("a", "b", "c")))
         self.assertEqual(found, {"a": 20, "b": 20, "c": 20})
 
-    def test_a_lost_server_loses_only_its_own_slices(self):
+    def test_only_slices_of_a_lost_server_change(self):
         before = settled(views("a", "b", "c"))
         servers = views("a", "b", "c", c=ServerView("c", usable=False, lost=True))
         after = next_slices(before, servers, set())
@@ -51,7 +51,7 @@
         once = next_slices(before, servers, set())
         self.assertEqual(next_slices(once, servers, set()), once)
 
-    def test_a_new_owner_has_a_higher_token(self):
+    def test_new_owner_has_a_higher_token(self):
         before = settled(views("a", "b"))
         servers = views("a", "b", b=ServerView("b", usable=False, lost=True))
         releasing = next_slices(before, servers, set())
@@ -61,7 +61,7 @@
             if new.server != old.server:
                 self.assertGreater(new.token, old.token)
 
-    def test_an_added_server_gets_its_share_and_no_more(self):
+    def test_added_server_gets_exactly_its_share(self):
         before = settled(views("a", "b", "c"))
         servers = views("a", "b", "c", "d")
         slices, moved = before, set()
@@ -75,13 +75,13 @@
         self.assertEqual(counts(slices)["d"], 15)
         self.assertEqual(len(moved), 15)
 
-    def test_a_domain_that_is_out_is_emptied(self):
+    def test_server_of_a_domain_taken_out_owns_nothing(self):
         before = settled(views("a", "b"))
         servers = views("a", "b", b=ServerView("b", weight=0.0))
         after = next_slices(before, servers, set())
         self.assertEqual(counts(after)["b"], 0)
 
-    def test_each_slice_goes_to_the_server_furthest_below_its_share(self):
+    def test_slices_are_assigned_to_servers_furthest_below_their_share(self):
         servers = {f"s{i}": ServerView(f"s{i}", weight=1 + i % 3) for i in range(7)}
         given = next_slices((SliceState(),) * N_SLICES, servers, set())
         owned = collections.Counter()
@@ -90,16 +90,16 @@
             self.assertEqual(loads[item.server], min(loads.values()))
             owned[item.server] += 1
 
-    def test_unequal_weights_settle(self):
+    def test_unequal_weights_converge(self):
         servers = views("a", "b", "c", a=ServerView("a", weight=2.5))
         found = counts(settled(servers))
         self.assertAlmostEqual(found["a"], N_SLICES * 2.5 / 4.5, delta=1.5)
 
-    def test_the_first_server_to_report_does_not_get_everything(self):
+    def test_first_server_to_report_gets_only_its_share(self):
         """A team is declared, and one of three servers is the first to report.
 
-        It would own every key, cold as it is, and lose two thirds of them as soon
-        as the others have reported.
+        Guards against assigning all keys to it while it is cold, and moving two thirds
+        of them again as soon as the others have reported.
         """
         servers = {n: ServerView(n, usable=n == "a") for n in ("a", "b", "c")}
         empty = (SliceState(),) * N_SLICES
--- a/tests/test_stragglers.py
+++ b/tests/test_stragglers.py
@@ -1,4 +1,4 @@
-"""Which servers an entry passes over, and that never too many are."""
+"""Which servers an entry ejects, and the limit on their number."""
 
 import random
 import unittest
@@ -9,8 +9,8 @@
 ROUTES = tuple(Route(f"s{i}", "") for i in range(12))
 
 
-def send_answers(ejections, slow=(), rounds=10, now_ms=0.0):
-    """Let every server answer in turn; slow ones take ten times as long."""
+def record_answers(ejections, slow=(), rounds=10, now_ms=0.0):
+    """Record responses of every server in turn; slow ones take ten times as long."""
     for i in range(rounds):
         for route in ROUTES:
             took_ms = 100.0 if route.server in slow else 8.0 + i % 5
@@ -18,42 +18,42 @@
 
 
 def ejected(ejections, now_ms):
-    """Return the names of servers that are not used."""
+    """Return the names of the servers that are ejected."""
     used = {route.server for route in ejections.usable(ROUTES, now_ms)}
     return {route.server for route in ROUTES} - used
 
 
 class EjectionsTest(unittest.TestCase):
-    """Twelve servers, as many as claims run on."""
+    """Twelve servers, as many as handle claims."""
 
-    def test_ordinary_scatter_ejects_nobody(self):
+    def test_ordinary_variation_ejects_no_server(self):
         ejections = Ejections()
-        send_answers(ejections, rounds=100)
+        record_answers(ejections, rounds=100)
         self.assertEqual(ejected(ejections, 0.0), set())
 
     def test_two_of_twelve_slowed_tenfold(self):
-        """Neighbours slow two servers for a moment; each entry sees it by itself."""
+        """Noisy neighbours slow two servers; each entry detects it by itself."""
         ejections = Ejections()
-        send_answers(ejections)
-        send_answers(ejections, slow={"s3", "s7"}, now_ms=100.0)
+        record_answers(ejections)
+        record_answers(ejections, slow={"s3", "s7"}, now_ms=100.0)
         self.assertEqual(ejected(ejections, 101.0), {"s3", "s7"})
         self.assertEqual(ejected(ejections, 101.0 + EJECTION_MS), set())
 
-    def test_a_server_that_comes_back_is_judged_anew(self):
+    def test_server_is_measured_anew_after_ejection(self):
         ejections = Ejections()
-        send_answers(ejections)
-        send_answers(ejections, slow={"s3"}, now_ms=100.0)
-        send_answers(ejections, now_ms=100.0 + EJECTION_MS)
+        record_answers(ejections)
+        record_answers(ejections, slow={"s3"}, now_ms=100.0)
+        record_answers(ejections, now_ms=100.0 + EJECTION_MS)
         self.assertEqual(ejected(ejections, 101.0 + EJECTION_MS), set())
 
-    def test_all_slow_together_are_all_used(self):
+    def test_common_slowdown_ejects_few_servers(self):
         ejections = Ejections()
-        send_answers(ejections)
-        send_answers(ejections, slow={route.server for route in ROUTES}, now_ms=100.0)
+        record_answers(ejections)
+        record_answers(ejections, slow={route.server for route in ROUTES}, now_ms=100.0)
         self.assertLessEqual(len(ejected(ejections, 101.0)), 4)
 
-    def test_never_more_than_a_share(self):
-        """Eight of twelve fail at once: the four left could not bear everything."""
+    def test_ejected_share_is_limited(self):
+        """Eight of twelve fail at once; the other four could not handle the load."""
         ejections = Ejections()
         for i in range(8):
             ejections.eject(f"s{i}", float(i))
@@ -62,7 +62,7 @@
         self.assertEqual(ejections.usable(one, 10.0), one)
 
     def test_long_work_among_short(self):
-        """One answer in ten takes a hundred times as long, at every server alike."""
+        """At every server, one response in ten takes a hundred times as long."""
         ejections, rng = Ejections(), random.Random(3)
         n_ejected = 0
         for now_ms in range(2000):
@@ -74,9 +74,9 @@
 
 
 class LessLoadedTest(unittest.TestCase):
-    """Placing by two draws."""
+    """Selection of the less loaded of two random servers."""
 
-    def test_uneven_load_evens_out(self):
+    def test_uneven_load_is_evened_out(self):
         rng = random.Random(2)
         load = {route.server: 0 for route in ROUTES}
         load["s0"] = 50
@@ -85,5 +85,5 @@
             load[route.server] += 1
         self.assertLess(max(load.values()) - min(load.values()), 10)
 
-    def test_a_single_server_is_taken(self):
+    def test_single_server_is_selected(self):
         self.assertEqual(less_loaded(ROUTES[:1], None, None), ROUTES[0])
