--- a/src/tarragonramp/meters.py
+++ b/src/tarragonramp/meters.py
@@ -1,7 +1,7 @@
-"""Counts and histograms that a daemon keeps of its own work.
+"""Counters and histograms that a daemon keeps of its own operation.
 
-Plain sums in plain attributes, cheap enough for each request; an adapter exports
-them when somebody asks.
+They are plain attributes, cheap enough to update for each request. An adapter exports
+them on request.
 """
 
 import bisect
@@ -33,7 +33,7 @@
     Parameters
     ----------
     counts : list of int
-        One for each bound of ``BOUNDS_MS``, and one for what is longer.
+        One for each bound of ``BOUNDS_MS``, and one for longer times.
     sum_ms, max_ms : float
     """
 
@@ -42,7 +42,7 @@
     max_ms: float = 0.0
 
     def add(self, time_ms):
-        """Take in one time, in milliseconds."""
+        """Record a time in milliseconds."""
         self.counts[bisect.bisect_left(BOUNDS_MS, time_ms)] += 1
         self.sum_ms += time_ms
         if time_ms > self.max_ms:
@@ -50,13 +50,13 @@
 
     @property
     def count(self):
-        """How many times were taken in."""
+        """Number of recorded times."""
         return sum(self.counts)
 
 
 @attrs.define
 class RequestTimes:
-    """Where the time of one request goes.
+    """Times of one request.
 
     Parameters
     ----------
@@ -64,7 +64,7 @@
     service : str
         ``team/service``; empty until it is known.
     service_ms : float
-        Spent at backend servers, all tries together.
+        Time spent at backend servers, in all attempts together.
     """
 
     began_ms: float
@@ -81,26 +81,26 @@
 
 @attrs.define
 class RequestMeter:
-    """Callers' requests by service and outcome.
+    """Counts callers' requests by service and outcome.
 
     Parameters
     ----------
     by_outcome : dict of (str, str) to object
         By service and outcome, the histograms ``wait``, ``service`` and ``total``.
     in_flight : int
-        Requests begun and not yet finished.
+        Requests started and not yet finished.
     """
 
     by_outcome: dict = attrs.Factory(dict)
     in_flight: int = 0
 
     def begin(self, now_ms):
-        """Return the RequestTimes of a request that begins now."""
+        """Return the RequestTimes of a request that starts now."""
         self.in_flight += 1
         return RequestTimes(now_ms)
 
     def finish(self, times, outcome, now_ms):
-        """Take in a request that ends now.
+        """Record a request that ends now.
 
         Parameters
         ----------
@@ -121,7 +121,7 @@
 
 @attrs.define
 class TrafficMeter:
-    """Control messages and their bytes, by kind and direction.
+    """Counts control messages and their bytes, by kind and direction.
 
     Parameters
     ----------
@@ -134,11 +134,11 @@
     bytes: dict = attrs.Factory(dict)
 
     def sent(self, kind, n_bytes):
-        """Count one message that left."""
+        """Count one message that was sent."""
         self._count((kind, "out"), n_bytes)
 
     def received(self, kind, n_bytes):
-        """Count one message that came."""
+        """Count one message that was received."""
         self._count((kind, "in"), n_bytes)
 
     def _count(self, key, n_bytes):
@@ -147,9 +147,10 @@
 
 
 def kind_of(method, target):
-    """Return what kind of control message an HTTP request is.
+    """Return the kind of control message that an HTTP request is.
 
-    A short, closed list: a label of a metric must not grow with names of objects.
+    The set of kinds is small and fixed, because a metric label must not grow with the
+    names of objects.
     """
     path = target.partition("?")[0]
     parts = path.strip("/").split("/")
--- a/src/tarragonramp/reachability.py
+++ b/src/tarragonramp/reachability.py
@@ -1,28 +1,29 @@
-"""Whether a backend server answers at all, as one entry sees it; without I/O."""
+"""Tracks whether a backend server responds, as one entry sees it, without I/O."""
 
 import attrs
 
 __all__ = ["Reachability"]
 
 PROBE_AFTER_MS = 250.0
-"""How long the oldest request may be unanswered, with no other answer since.
+"""How long the oldest request may be unanswered, with no other response since, before
+the server is probed.
 
-Load: a server that is frozen or cut off, and callers who keep asking for its keys. Harm
-prevented: each of them waits for its whole deadline, and a claim ends with an unknown
-outcome that could have been refused as not run. Suspicion alone refuses nobody, since
-long work looks the same; it only asks for a probe. Shorter would probe servers that are
-merely busy; longer adds to the time until callers are told.
+If a server is frozen or cut off, each caller that requests one of its keys would wait
+for its whole deadline, and a claim would end with an unknown outcome instead of being
+rejected as not run. A missing response alone rejects no request, because a long request
+looks the same; it only triggers a probe. A shorter time would probe servers that are
+merely busy; a longer one would delay the rejections.
 """
 
 
 @attrs.define(eq=False)
 class Reachability:
-    """Requests under way at one server, and what a probe found.
+    """Requests in flight at one server, and the result of probing it.
 
     Parameters
     ----------
     down : bool
-        Whether the latest probe went unanswered: nothing is sent meanwhile.
+        Whether the latest probe was unanswered; nothing is sent meanwhile.
     """
 
     down: bool = False
@@ -32,19 +33,19 @@
     _last_number: int = 0
 
     def sent(self, now_ms):
-        """Note a request that leaves; return what :meth:`ended` wants."""
+        """Record a request that is being sent; return its number for :meth:`ended`."""
         self._last_number += 1
         self._sent_ms[self._last_number] = now_ms
         return self._last_number
 
     def ended(self, number, answered, now_ms):
-        """Note the end of a request.
+        """Record the end of a request.
 
         Parameters
         ----------
         number : int
         answered : bool
-            Whether the server said anything at all.
+            Whether the server sent any response.
         now_ms : float
         """
         del self._sent_ms[number]
@@ -52,7 +53,7 @@
             self._answered_ms = now_ms
 
     def should_probe(self, now_ms):
-        """Tell whether to begin probing; true once for each suspicion."""
+        """Tell whether to start probing; true once for each period of silence."""
         if self._probing or not self._sent_ms:
             return False
         oldest_ms = next(iter(self._sent_ms.values()))
@@ -63,7 +64,7 @@
         return True
 
     def probed(self, answered, now_ms):
-        """Note the outcome of a probe; probing goes on until this returns True."""
+        """Record the result of a probe; probing continues until this returns True."""
         self.down = not answered
         if answered:
             self._probing = False
--- a/src/tarragonramp/request.py
+++ b/src/tarragonramp/request.py
@@ -1,4 +1,4 @@
-"""What a caller's request says about itself: key, class, deadline and headers."""
+"""Reads key, class, deadline and headers of a caller's request."""
 
 import re
 import urllib.parse
@@ -49,7 +49,7 @@
         "upgrade",
     )
 )
-# These two are set anew on every hop.
+# These two headers are set by each hop.
 _DROPPED_REQUEST_HEADERS = HOP_HEADERS | {REQUEST_ID_HEADER, TIMEOUT_HEADER}
 _STANDARD_CONNECTION_VALUES = frozenset(("", "keep-alive", "close"))
 DEFAULT_CLASS = CallerClass("default", ())
@@ -62,26 +62,26 @@
 
 @attrs.define
 class Request:
-    """A caller's request, read and checked.
+    """A caller's request after parsing and validation.
 
     Parameters
     ----------
     method, target : str
         The target as the caller sent it.
     headers : list of (str, str)
-        End-to-end headers, none of which only this project may set.
+        End-to-end headers, without those that only this project may set.
     body : bytes
     request_id : str
-        For people and logs. Callers choose it, so two of them may use the same one:
-        nothing is looked up by it and nothing is deduplicated by it.
+        For people and logs. It is chosen by the caller, so two callers may use the same
+        one: it is never used for lookup or deduplication.
     deadline_at_ms : float
         On this process's clock.
     caller_class : CallerClass
     is_wanted : callable
-        False once the caller has gone.
+        Returns False once the caller has disconnected.
     times : RequestTimes
     in_doubt : bool, default=False
-        Whether an earlier try may have run.
+        Whether an earlier attempt may have run.
     """
 
     method: str
@@ -96,9 +96,9 @@
     in_doubt: bool = False
 
     def refusal(self, status, reason, retry_after_s=None):
-        """Return the error for a caller whose request is not sent (again).
+        """Return the error for a caller whose request is not sent, or not sent again.
 
-        "Not run" only if no earlier try may have run.
+        The outcome is "not run" only if no earlier attempt may have run.
         """
         if self.in_doubt:
             return RequestError(status, UNKNOWN, reason)
@@ -106,7 +106,7 @@
 
 
 def class_of(service, method, path):
-    """Return the caller class of a request: the first one that matches.
+    """Return the first caller class that matches a request.
 
     Parameters
     ----------
@@ -121,10 +121,10 @@
 
 
 def check_path(path):
-    """Refuse a path that servers may read as another one.
+    """Reject a path that servers may interpret as a different one.
 
-    Guards against ``/jobs/k1/../k2``, which would be routed to the owner of k1 and be
-    taken for k2 by a server that resolves dots.
+    Guards against ``/jobs/k1/../k2``, which would be routed to the owner of k1 but
+    treated as k2 by a server that resolves dot segments.
 
     Parameters
     ----------
@@ -146,7 +146,7 @@
     Parameters
     ----------
     service : Service
-        A divided one.
+        A divided service.
     headers : list of (str, str)
         Names in lower case.
     target : str
@@ -154,8 +154,8 @@
     Raises
     ------
     RequestError
-        400 if there is no key, or more than one: the server might take another one
-        than the router did, and would then act for a key that it does not own.
+        400 if there is no key or more than one. With several keys, the server might use
+        a different one than the router and act for a key that it does not own.
     """
     divisor = service.divided_by
     path, _, query = target.partition("?")
@@ -175,7 +175,7 @@
 
 
 def request_id(headers):
-    """Return the caller's request id; empty if it has none.
+    """Return the caller's request id, or an empty string.
 
     Raises
     ------
@@ -191,7 +191,7 @@
 
 
 def deadline_ms(headers, caller_class):
-    """Return how long a caller waits at most: its own limit or that of its class.
+    """Return how long a caller waits at most: its own limit, bounded by its class's.
 
     Parameters
     ----------
@@ -212,11 +212,11 @@
 
 
 def end_to_end(headers):
-    """Return the headers of a request that go on to the server.
+    """Return the headers of a request that are forwarded to the server.
 
-    Leaves out those for one hop, those that the sender's ``Connection`` names, and
-    all that only this project may set: a caller's own ``Tarragon-Token`` would
-    otherwise pass for a fencing token.
+    Hop-by-hop headers, those named by the sender's ``Connection`` header and all that
+    only this project may set are left out. Otherwise, a caller's own ``Tarragon-Token``
+    would be accepted as a fencing token.
 
     Parameters
     ----------
@@ -232,7 +232,7 @@
 
 
 def answer_headers(answer, sent_request_id):
-    """Return the headers of a server's answer that go on to the caller.
+    """Return the headers of a server's response that are forwarded to the caller.
 
     Parameters
     ----------
@@ -253,7 +253,7 @@
 
 
 def end_to_end_answer(answer):
-    """Return the headers of an answer without those for one hop.
+    """Return the headers of a response without hop-by-hop headers.
 
     Parameters
     ----------
@@ -271,7 +271,7 @@
 
 
 def named_by_connection(headers):
-    """Return the names of headers that a ``Connection`` header keeps to one hop."""
+    """Return the header names that a ``Connection`` header declares hop-by-hop."""
     named = set()
     for name, value in headers:
         if name == "connection" and value.lower() not in _STANDARD_CONNECTION_VALUES:
@@ -282,14 +282,14 @@
 def _path_keys(path, prefix, position):
     if _ENCODED_SEPARATOR.search(path):
         raise RequestError(400, NOT_RUN, "encoded separator in the path")
-    # The prefix may have been escaped differently than it is declared.
+    # The caller may have escaped the prefix differently than it is declared.
     rest = urllib.parse.unquote(path)[len(prefix) :]
     parts = rest.removeprefix("/").split("/")
     return parts[position : position + 1]
 
 
 def _decode_header(value):
-    """Return a header value as the text that its bytes stand for."""
+    """Return a header value as the text that its bytes encode."""
     return (
         value if value.isascii() else value.encode("latin-1").decode(errors="replace")
     )
--- a/src/tarragonramp/retries.py
+++ b/src/tarragonramp/retries.py
@@ -1,4 +1,4 @@
-"""How many further tries the routers may add to the callers' own traffic."""
+"""Limits how many retries the routers may add to the callers' own requests."""
 
 import attrs
 
@@ -7,21 +7,21 @@
 
 @attrs.define
 class RetryBudget:
-    """Allows extra sends up to a share of the first ones.
+    """Allows retries up to a share of the first attempts.
 
-    Load: every server of a service slow or failing at once, as after an outage of
-    some seconds. Harm prevented: each request being sent several times, so that the
-    servers meet a multiple of the load that they already cannot bear, and stay down.
+    If all servers of a service are slow or failing at once, for example after an outage
+    of some seconds, unlimited retries would multiply a load that the servers already
+    cannot handle, and keep them down.
 
     Parameters
     ----------
     share : float, default=0.1
-        Extra sends for each first send. A tenth hides the loss of one server among a
-        dozen; twice the load, as one retry each would make, is what keeps a server
-        with three slots from coming back.
+        Retries for each first attempt. A tenth hides the loss of one server of a dozen.
+        One retry of each request would double the load, which keeps a server with three
+        slots from recovering.
     reserve : float, default=5.0
-        Extra sends that may be saved up, so that a quiet service can still retry.
-        Small, since it is what each entry can add at once to a sudden outage.
+        Retries that may be accumulated, so that a service with little traffic can still
+        retry. Small, because it is what each entry can add at once in a sudden outage.
     """
 
     share: float = 0.1
@@ -29,15 +29,15 @@
     _balance: float = attrs.field(init=False)
 
     def __attrs_post_init__(self):
-        """Begin with the full reserve."""
+        """Start with the full reserve."""
         self._balance = self.reserve
 
     def earn(self):
-        """Note the first send of a request."""
+        """Record the first attempt of a request."""
         self._balance = min(self.reserve, self._balance + self.share)
 
     def spend(self):
-        """Take one extra send; False if there is none left."""
+        """Take one retry from the budget; False if none is left."""
         if self._balance < 1.0:
             return False
         self._balance -= 1.0
--- a/src/tarragonramp/routing.py
+++ b/src/tarragonramp/routing.py
@@ -1,4 +1,4 @@
-"""Where a request may go: the owner of its slice, or a server of its service."""
+"""Finds where a request may be sent: its slice's owner, or a server of its service."""
 
 import attrs
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class Route:
-    """One server that may take a request.
+    """One server that may receive a request.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
     token : int
         Fencing token of the slice's owner.
     gated_at : tuple of str
-        Team and service if only the server's steward may send to it; else empty.
+        Team and service if only the server's steward may send to it; otherwise empty.
     service : tuple of str
         Team and service.
     """
@@ -34,9 +34,10 @@
 
 @attrs.define(eq=False, repr=False)
 class Routes:
-    """Routes worked out from a view, kept until it changes.
+    """Routes derived from a view, cached until it changes.
 
-    A request then costs two look-ups, however many VMs and slices there are.
+    Routing a request then takes two dictionary lookups, however many VMs and slices
+    there are.
 
     Parameters
     ----------
@@ -49,20 +50,20 @@
     _n_entries: int = 0
 
     def forget(self):
-        """Forget all: the view has changed."""
+        """Clear the cache because the view has changed."""
         self._owners.clear()
         self._candidates.clear()
         self._n_entries = 0
 
     def owner(self, team, service, index):
-        """Return the Route to the owner of a slice; None while it has none."""
+        """Return the Route to the owner of a slice, or None if it has none."""
         key = team, service, index
         if key not in self._owners:
             self._owners[key] = self._find_owner(team, service, index)
         return self._owners[key]
 
     def candidates(self, team, service):
-        """Return a tuple of Route to the servers that take a shared service."""
+        """Return a tuple of Route to the usable servers of a shared service."""
         key = team, service
         if key not in self._candidates:
             self._candidates[key] = tuple(
@@ -94,11 +95,12 @@
 
 
 def less_loaded(routes, load_of, rng):
-    """Choose the less loaded of two routes drawn at random.
+    """Return the less loaded of two routes chosen at random.
 
-    Load: many entries choose at once on stale knowledge. Harm prevented: all of them
-    picking the same least loaded server. Two draws already take most of the unevenness
-    of one away; more would bring the herd back.
+    Many entries select servers at once based on outdated load. If all of them used the
+    least loaded server, they would overload it. Two random choices remove most of the
+    imbalance of a single one; with more, the entries would converge on the same server
+    again.
 
     Parameters
     ----------
--- a/src/tarragonramp/slices.py
+++ b/src/tarragonramp/slices.py
@@ -1,4 +1,4 @@
-"""Which slice of a service a key belongs to."""
+"""Maps the keys of a service to slices."""
 
 import xxhash
 
@@ -6,7 +6,7 @@
 
 
 def slice_of(key, n_slices):
-    """Hash a key into a slice.
+    """Return the slice of a key, by a hash.
 
     Parameters
     ----------
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -1,4 +1,4 @@
-"""When an entry begins to doubt that a server is there, on a manual clock."""
+"""When an entry probes a silent server, on a manual clock."""
 
 import unittest
 
@@ -6,13 +6,13 @@
 
 
 class ReachabilityTest(unittest.TestCase):
-    """Callers of a silent server are refused at once; those of a busy one are not."""
+    """Requests to a silent server are rejected at once; those to a busy one are not."""
 
-    def test_a_frozen_server_is_doubted_once_and_found_down(self):
-        """A server freezes with requests in its hands.
+    def test_frozen_server_is_probed_once_and_found_down(self):
+        """A server freezes with requests in flight.
 
-        The next caller after a quarter of a second makes the entry ask; once that
-        goes unanswered, further callers are refused instead of waiting it out.
+        The next request after a quarter of a second triggers a probe. Once the probe
+        fails, further requests are rejected instead of waiting until their deadlines.
         """
         reach = Reachability()
         reach.sent(0.0)
@@ -24,14 +24,14 @@
         self.assertTrue(reach.probed(True, 9000.0))
         self.assertFalse(reach.down)
 
-    def test_long_work_among_quick_answers_raises_no_doubt(self):
+    def test_long_request_among_fast_responses_triggers_no_probe(self):
         reach = Reachability()
         reach.sent(0.0)
         for now_ms in range(0, 3000, 100):
             reach.ended(reach.sent(now_ms), True, now_ms + 5.0)
             self.assertFalse(reach.should_probe(now_ms + 50.0))
 
-    def test_long_work_alone_is_asked_about_and_goes_on(self):
+    def test_long_request_alone_triggers_a_probe_and_continues(self):
         reach = Reachability()
         number = reach.sent(0.0)
         self.assertTrue(reach.should_probe(600.0))
@@ -40,7 +40,7 @@
         reach.ended(number, True, 700.0)
         self.assertFalse(reach.should_probe(5000.0))
 
-    def test_a_burst_after_silence_raises_no_doubt(self):
+    def test_burst_after_an_idle_period_triggers_no_probe(self):
         reach = Reachability()
         reach.ended(reach.sent(0.0), True, 5.0)
         for _ in range(50):
