--- a/src/tarragonramp/admission.py
+++ b/src/tarragonramp/admission.py
@@ -1,7 +1,7 @@
 """Decides whether a request is sent to a backend server now, waits, or is rejected.
 
 Decisions without I/O; each call passes the current time. Each entry has one
-:class:`Gate` for each server, and entries exchange no information.
+:class:`ConcurrencyLimiter` for each server, and entries exchange no information.
 """
 
 import collections
@@ -76,7 +76,7 @@
 
 @attrs.define(eq=False)
 class Ticket:
-    """One request submitted to a gate.
+    """One request submitted to a limiter.
 
     Parameters
     ----------
@@ -84,7 +84,7 @@
         Lower values are served first.
     deadline_at_ms : float
     arrived_ms : float
-        Set by the gate.
+        Set by the limiter.
     state : {"waiting", "admitted", "refused"}
     retry_after_ms : float
         When the caller should retry; set on rejection.
--- a/src/tarragonramp/balancing.py
+++ b/src/tarragonramp/balancing.py
@@ -165,12 +165,12 @@
         Parameters
         ----------
         servers : sequence of BackendServer
-        requirements : Wanted
+        requirements : Requirements
         now_ms : float
 
         Returns
         -------
-        selection : Chosen or Refused
+        selection : Selection or Rejection
         """
         usable = [s for s in servers if not self.is_backing_off(s.name, now_ms)]
         usable = usable or list(servers)
@@ -263,8 +263,8 @@
 
         Parameters
         ----------
-        selection : Chosen
-            The result of :meth:`choose` for this request.
+        selection : Selection
+            The result of :meth:`select` for this request.
         took_ms : float
         report : LoadReport or None
         now_ms : float
@@ -355,11 +355,11 @@
         if expected_ms > requirements.left_ms * DEADLINE_SHARE:
             return "no time"
         usual_ms = work_ms * stats.typical_slowdown(now_ms)
-        room_ms = requirements.target_left_ms * DEADLINE_SHARE - usual_ms
+        max_wait_ms = requirements.target_left_ms * DEADLINE_SHARE - usual_ms
         wait_ms = excess * usual_ms / server.slots
-        if wait_ms > room_ms:
+        if wait_ms > max_wait_ms:
             return "queue too long"
-        return "kept for urgent" if wait_ms > room_ms * (1.0 - kept_share) else ""
+        return "kept for urgent" if wait_ms > max_wait_ms * (1.0 - kept_share) else ""
 
     def _retry_after_s(self, wait_ms, work_ms):
         """Return when a rejected caller should retry: once the queue has drained.
--- a/src/tarragonramp/dealing.py
+++ b/src/tarragonramp/dealing.py
@@ -37,7 +37,7 @@
     address : str
     slots : int
         Requests that it processes at once.
-    speed : float
+    slowdown : float
         Factor by which the server was slower lately; 1 is usual.
     """
 
--- a/src/tarragonramp/heat.py
+++ b/src/tarragonramp/heat.py
@@ -97,7 +97,7 @@
     _since_ms: float = 0.0
 
     def add(self, work, now_ms):
-        """Add a daemon's report, in the form that ``WorkCounts.take`` returns."""
+        """Add a daemon's report, in the form that ``WorkCounts.drain`` returns."""
         if now_ms >= self._since_ms + HALF_LIFE_MS:
             self._rebase(now_ms)
         weight = 2.0 ** ((now_ms - self._since_ms) / HALF_LIFE_MS)
@@ -109,7 +109,7 @@
                 entry[1] += weight * took_ms
 
     def heat_of(self, service, now_ms):
-        """Return the Heat of a service."""
+        """Return the KeyLoad of a service."""
         decay = 0.5 ** ((now_ms - self._since_ms) / HALF_LIFE_MS)
         entries = self._by_service.get(service, {})
         count = decay * sum(count for count, _ in entries.values())
--- a/src/tarragonramp/hotspots.py
+++ b/src/tarragonramp/hotspots.py
@@ -67,7 +67,7 @@
         self.load_ms += took_ms / self.candidate.slots
 
 
-def spread_heat(table, candidates, heat):
+def spread_heat(table, candidates, key_load):
     """Return ranges with hot keys that should move to less loaded servers.
 
     Keys become hot within seconds, hot keys are often adjacent, and many of them may
@@ -84,7 +84,7 @@
     ----------
     table : RangeTable
     candidates : sequence of Candidate
-    heat : Heat
+    key_load : KeyLoad
         Recent load.
 
     Returns
@@ -92,17 +92,17 @@
     changed : list of KeyRange
         Ranges that move, and the remaining parts of ranges that were split.
     """
-    owners = _owners(table, candidates, heat.by_key)
+    owners = _owners(table, candidates, key_load.by_key)
     if len(owners) < 2:
         return []
     # Each move may add two ranges.
     max_ranges = len(table.ranges) + 2 * (MAX_HOT_MOVES + 1)
     may_split = max_ranges <= MAX_RANGES_PER_SERVER * len(owners)
-    moved = _move_hottest_key(owners, heat.window_ms) if may_split else []
+    moved = _move_hottest_key(owners, key_load.window_ms) if may_split else []
     for _ in range(MAX_HOT_MOVES):
         most_loaded = max(owners, key=lambda owner: owner.load_ms)
         least_loaded = min(owners, key=lambda owner: owner.load_ms)
-        if not _is_overloaded(most_loaded, owners, heat):
+        if not _is_overloaded(most_loaded, owners, key_load):
             break
         gap_ms = most_loaded.load_ms - least_loaded.load_ms
         max_ms = MAX_MOVED_SHARE * gap_ms * most_loaded.candidate.slots
@@ -114,15 +114,15 @@
     return moved + kept
 
 
-def busy_servers(table, candidates, heat):
+def busy_servers(table, candidates, key_load):
     """Return the names of the servers whose load is at least the mean.
 
     Parameters
     ----------
-    table, candidates, heat
+    table, candidates, key_load
         As for :func:`spread_heat`.
     """
-    owners = _owners(table, candidates, heat.by_key)
+    owners = _owners(table, candidates, key_load.by_key)
     mean_ms = sum(owner.load_ms for owner in owners) / max(1, len(owners))
     return frozenset(o.candidate.name for o in owners if o.load_ms >= mean_ms > 0)
 
@@ -149,16 +149,18 @@
     return list(owners.values())
 
 
-def _is_overloaded(most_loaded, owners, heat):
+def _is_overloaded(most_loaded, owners, key_load):
     """Tell whether a server is busy and its load exceeds the mean significantly."""
     mean_ms = sum(owner.load_ms for owner in owners) / len(owners)
-    deviation_ms = math.sqrt(mean_ms * heat.request_ms / most_loaded.candidate.slots)
+    deviation_ms = math.sqrt(
+        mean_ms * key_load.request_ms / most_loaded.candidate.slots
+    )
     min_excess_ms = max(
         MIN_EXCESS_SHARE * mean_ms, MIN_EXCESS_DEVIATIONS * deviation_ms
     )
     if most_loaded.load_ms - mean_ms <= min_excess_ms:
         return False
-    return most_loaded.load_ms >= MIN_UTILIZATION * heat.window_ms
+    return most_loaded.load_ms >= MIN_UTILIZATION * key_load.window_ms
 
 
 def _move_hottest_key(owners, window_ms):
--- a/src/tarragonramp/placement.py
+++ b/src/tarragonramp/placement.py
@@ -138,9 +138,9 @@
     counts = _counts(result)
     n_releasing = sum(1 for item in result if item.state == RELEASING)
     budget = max(1, int(len(result) * MAX_MOVING_SHARE)) - n_releasing
-    room = sum(max(0, int(shares[s.name]) - counts[s.name]) for s in recipients)
+    n_vacant = sum(max(0, int(shares[s.name]) - counts[s.name]) for s in recipients)
     for index, item in enumerate(result):
-        if budget <= 0 or room <= 0:
+        if budget <= 0 or n_vacant <= 0:
             return
         if item.state != OWNED or item.server not in shares:
             continue
@@ -148,7 +148,7 @@
             continue
         counts[item.server] -= 1
         budget -= 1
-        room -= 1
+        n_vacant -= 1
         result[index] = SliceState(RELEASING, item.server, item.token)
 
 
--- a/src/tarragonramp/reachability.py
+++ b/src/tarragonramp/reachability.py
@@ -33,7 +33,7 @@
     _last_number: int = 0
 
     def sent(self, now_ms):
-        """Record a request that is being sent; return its number for :meth:`ended`."""
+        """Record a request being sent; return its number for :meth:`request_ended`."""
         self._last_number += 1
         self._sent_ms[self._last_number] = now_ms
         return self._last_number
--- a/src/tarragonramp/request.py
+++ b/src/tarragonramp/request.py
@@ -231,17 +231,17 @@
     ]
 
 
-def answer_headers(answer, sent_request_id):
+def answer_headers(response, sent_request_id):
     """Return the headers of a server's response that are forwarded to the caller.
 
     Parameters
     ----------
-    answer : Answer
+    response : Response
     sent_request_id : str
         Added if the server did not echo it.
     """
     kept, echoed = [], False
-    for name, value in end_to_end_answer(answer):
+    for name, value in end_to_end_answer(response):
         lower_name = name.lower().replace("_", "-")
         if lower_name.startswith(INTERNAL_PREFIX):
             continue
@@ -252,20 +252,20 @@
     return kept
 
 
-def end_to_end_answer(answer):
+def end_to_end_answer(response):
     """Return the headers of a response without hop-by-hop headers.
 
     Parameters
     ----------
-    answer : Answer
+    response : Response
     """
     dropped = HOP_HEADERS
-    if answer.header("Connection"):
-        lower = [(name.lower(), value) for name, value in answer.headers]
+    if response.header("Connection"):
+        lower = [(name.lower(), value) for name, value in response.headers]
         dropped = HOP_HEADERS | named_by_connection(lower)
     return [
         (name, value)
-        for name, value in answer.headers
+        for name, value in response.headers
         if name.lower().replace("_", "-") not in dropped
     ]
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -36,11 +36,11 @@
 
 
 class Simulation:
-    """Simulates entries that each have a gate for the same server."""
+    """Simulates entries that each have a limiter for the same server."""
 
     def __init__(self, n_entries=1, slots=4, connections=50, seed=1, slowdown=None):
         self.rng = random.Random(seed)
-        self.gates = [
+        self.limiters = [
             Gate(slots, connections, n_entries, rng=random.Random(seed + i))
             for i in range(n_entries)
         ]
@@ -64,8 +64,8 @@
             if time_ms >= until_ms:
                 return
             took_ms = work_ms(self.rng) if callable(work_ms) else work_ms
-            gate = self.rng.choice(self.gates)
-            self.at(time_ms, self._arrive, gate, priority, took_ms, caller_timeout)
+            limiter = self.rng.choice(self.limiters)
+            self.at(time_ms, self._arrive, limiter, priority, took_ms, caller_timeout)
 
     def run(self):
         """Run to the end; return results by class."""
@@ -77,54 +77,56 @@
             by_class[result.priority].append(result)
         return by_class
 
-    def _arrive(self, gate, priority, work_ms, caller_timeout_ms):
+    def _arrive(self, limiter, priority, work_ms, caller_timeout_ms):
         result = Result(priority, self.now_ms)
         self.results.append(result)
         ticket = Ticket(priority, self.now_ms + caller_timeout_ms)
-        ticket.on_change = lambda: self._go_on(gate, ticket, result, work_ms)
-        self._wake(gate.arrive(ticket, self.now_ms))
+        ticket.on_change = lambda: self._go_on(limiter, ticket, result, work_ms)
+        self._wake(limiter.arrive(ticket, self.now_ms))
         if ticket.state == WAITING:
-            self.at(gate.latest_start_ms(ticket), self._withdraw, gate, ticket, result)
+            self.at(
+                limiter.latest_start_ms(ticket), self._withdraw, limiter, ticket, result
+            )
         else:
             ticket.on_change()
 
-    def _withdraw(self, gate, ticket, result):
+    def _withdraw(self, limiter, ticket, result):
         if ticket.state == WAITING:
-            gate.withdraw(ticket)
+            limiter.withdraw(ticket)
             ticket.on_change()
 
     def _wake(self, tickets):
         for ticket in tickets:
             ticket.on_change()
 
-    def _go_on(self, gate, ticket, result, work_ms):
+    def _go_on(self, limiter, ticket, result, work_ms):
         if ticket.state == REFUSED:
             self._end(result, "refused")
             result.retry_after_ms = ticket.retry_after_ms
             return
-        in_flight = sum(gate.in_flight for gate in self.gates)
+        in_flight = sum(limiter.in_flight for limiter in self.limiters)
         self.peak_in_flight = max(self.peak_in_flight, in_flight)
-        job = (gate, ticket, result, work_ms, self.now_ms)
+        job = (limiter, ticket, result, work_ms, self.now_ms)
         if self.running < self.slots:
             self._execute(job)
         elif len(self.queue) < 7 * self.slots:
             self.queue.append(job)
         else:
             self._end(result, "shed")
-            self._wake(gate.leave(Outcome.SHED, 1.0, self.now_ms))
+            self._wake(limiter.leave(Outcome.SHED, 1.0, self.now_ms))
 
     def _execute(self, job):
         self.running += 1
         self.at(self.now_ms + job[3] * self.slowdown(self.now_ms), self._finish, job)
 
     def _finish(self, job):
-        gate, ticket, result, _, sent_ms = job
+        limiter, ticket, result, _, sent_ms = job
         self.running -= 1
         if self.queue:
             self._execute(self.queue.popleft())
         in_time = self.now_ms <= ticket.deadline_at_ms
         self._end(result, "answered" if in_time else "late")
-        self._wake(gate.leave(Outcome.ANSWERED, self.now_ms - sent_ms, self.now_ms))
+        self._wake(limiter.leave(Outcome.ANSWERED, self.now_ms - sent_ms, self.now_ms))
 
     def _end(self, result, kind):
         result.kind, result.total_ms = kind, self.now_ms - result.began_ms
@@ -190,10 +192,10 @@
     def test_one_busy_entry_borrows_idle_slots(self):
         """The users' load balancer sends nearly all requests to one entry of four."""
         simulation = Simulation(n_entries=4)
-        idle, busy = simulation.gates, simulation.gates[:1]
-        simulation.gates = busy
+        idle, busy = simulation.limiters, simulation.limiters[:1]
+        simulation.limiters = busy
         simulation.offer(320, LOOKUP, 20_000)
-        simulation.gates = idle
+        simulation.limiters = idle
         simulation.offer(10, LOOKUP, 20_000)
         got = simulation.run()[LOOKUP]
         self.assertGreater(share(got), 0.97)
@@ -202,10 +204,10 @@
     def test_borrowed_slots_are_returned(self):
         """One entry has borrowed all slots when the others become busy."""
         simulation = Simulation(n_entries=4)
-        gates = simulation.gates
-        simulation.gates = gates[:1]
+        limiters = simulation.limiters
+        simulation.limiters = limiters[:1]
         simulation.offer(350, LOOKUP, 10_000)
-        simulation.gates = gates
+        simulation.limiters = limiters
         simulation.offer(1200, LOOKUP, 30_000, from_ms=10_000)
         got = simulation.run()[LOOKUP]
         late = [r for r in got if r.began_ms > 20_000]
@@ -248,10 +250,10 @@
 
     def test_retry_times_are_spread(self):
         """All callers of a rejected burst retry at the time they were told."""
-        gate = Gate(4, 50, rng=random.Random(5))
+        limiter = Gate(4, 50, rng=random.Random(5))
         tickets = [Ticket(LOOKUP, 2000.0) for _ in range(1000)]
         for ticket in tickets:
-            gate.arrive(ticket, 0.0)
+            limiter.arrive(ticket, 0.0)
         retry_times = [t.retry_after_ms for t in tickets if t.state == REFUSED]
         self.assertGreater(len(retry_times), 500)
         first, last = min(retry_times), max(retry_times)
@@ -262,85 +264,85 @@
         self.assertLess(max(slots.values()), 2 * len(retry_times) / 10)
 
 
-class GateTest(unittest.TestCase):
+class ConcurrencyLimiterTest(unittest.TestCase):
     """Single decisions."""
 
     def test_infeasible_request_is_rejected_immediately(self):
-        gate = Gate(1, 50)
-        gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
+        limiter = Gate(1, 50)
+        limiter.arrive(Ticket(CLAIM, 1000.0), 0.0)
         infeasible = Ticket(CLAIM, 15.0)
-        gate.arrive(infeasible, 0.0)
+        limiter.arrive(infeasible, 0.0)
         self.assertEqual(infeasible.state, REFUSED)
         self.assertGreater(infeasible.retry_after_ms, 0.0)
 
     def test_claim_is_admitted_before_earlier_lookups(self):
-        gate = Gate(1, 50)
-        gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
+        limiter = Gate(1, 50)
+        limiter.arrive(Ticket(CLAIM, 1000.0), 0.0)
         lookup, claim = Ticket(LOOKUP, 1000.0), Ticket(CLAIM, 1000.0)
-        gate.arrive(lookup, 0.0)
-        gate.arrive(claim, 0.0)
-        self.assertEqual(gate.leave(Outcome.ANSWERED, 5.0, 5.0), [claim])
+        limiter.arrive(lookup, 0.0)
+        limiter.arrive(claim, 0.0)
+        self.assertEqual(limiter.leave(Outcome.ANSWERED, 5.0, 5.0), [claim])
         self.assertEqual((claim.state, lookup.state), (ADMITTED, WAITING))
 
     def test_lookups_that_become_infeasible_are_evicted(self):
-        gate = Gate(1, 50, max_wait_ms=100.0)
-        gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
+        limiter = Gate(1, 50, max_wait_ms=100.0)
+        limiter.arrive(Ticket(CLAIM, 1000.0), 0.0)
         lookup = Ticket(LOOKUP, 30.0)
-        gate.arrive(lookup, 0.0)
+        limiter.arrive(lookup, 0.0)
         changed = []
         for _ in range(3):
-            changed += gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
+            changed += limiter.arrive(Ticket(CLAIM, 1000.0), 0.0)
         self.assertEqual(changed, [lookup])
         self.assertEqual(lookup.state, REFUSED)
 
     def test_ticket_that_waited_too_long_is_not_sent(self):
-        gate = Gate(1, 50)
-        gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
+        limiter = Gate(1, 50)
+        limiter.arrive(Ticket(CLAIM, 1000.0), 0.0)
         late = Ticket(CLAIM, 40.0)
-        gate.arrive(late, 0.0)
-        self.assertEqual(gate.leave(Outcome.ANSWERED, 60.0, 60.0), [late])
-        self.assertEqual((late.state, gate.in_flight), (REFUSED, 0))
+        limiter.arrive(late, 0.0)
+        self.assertEqual(limiter.leave(Outcome.ANSWERED, 60.0, 60.0), [late])
+        self.assertEqual((late.state, limiter.in_flight), (REFUSED, 0))
 
     def test_withdrawn_ticket_frees_its_place(self):
-        gate = Gate(1, 50)
-        gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
+        limiter = Gate(1, 50)
+        limiter.arrive(Ticket(CLAIM, 1000.0), 0.0)
         gone = Ticket(CLAIM, 1000.0)
-        gate.arrive(gone, 0.0)
-        gate.withdraw(gone)
-        self.assertEqual(gate.leave(Outcome.ANSWERED, 5.0, 5.0), [])
-        self.assertEqual((gate.n_waiting, gate.in_flight), (0, 0))
+        limiter.arrive(gone, 0.0)
+        limiter.withdraw(gone)
+        self.assertEqual(limiter.leave(Outcome.ANSWERED, 5.0, 5.0), [])
+        self.assertEqual((limiter.n_waiting, limiter.in_flight), (0, 0))
 
     def test_limit_stays_within_the_servers_capacity(self):
-        gate = Gate(4, 6, n_entries=3)
-        self.assertEqual(gate.max_limit, 2.0)
+        limiter = Gate(4, 6, n_entries=3)
+        self.assertEqual(limiter.max_limit, 2.0)
         for i in range(200):
             tickets = [Ticket(CLAIM, 1e9) for _ in range(5)]
             for ticket in tickets:
-                gate.arrive(ticket, i * 10.0)
-            while gate.in_flight:
-                gate.leave(Outcome.ANSWERED, 5.0, i * 10.0 + 5.0)
-        self.assertLessEqual(gate.limit, 2.0)
-        gate.resize(4, 50, 1)
-        self.assertEqual(gate.limit, 4.0)
+                limiter.arrive(ticket, i * 10.0)
+            while limiter.in_flight:
+                limiter.leave(Outcome.ANSWERED, 5.0, i * 10.0 + 5.0)
+        self.assertLessEqual(limiter.limit, 2.0)
+        limiter.resize(4, 50, 1)
+        self.assertEqual(limiter.limit, 4.0)
 
     def test_shedding_lowers_the_limit_once_per_round(self):
-        gate = Gate(4, 50)
+        limiter = Gate(4, 50)
         for _ in range(4):
-            gate.arrive(Ticket(CLAIM, 1000.0), 0.0)
+            limiter.arrive(Ticket(CLAIM, 1000.0), 0.0)
         for _ in range(4):
-            gate.leave(Outcome.SHED, 1.0, 0.0)
-        self.assertAlmostEqual(gate.limit, 2.8)
+            limiter.leave(Outcome.SHED, 1.0, 0.0)
+        self.assertAlmostEqual(limiter.limit, 2.8)
 
     def test_own_pause_does_not_count_as_silence_of_the_server(self):
         """Guards against rejecting requests right after this process was paused."""
         stood_still_ms = 0.0
-        gate = Gate(1, 50, max_wait_ms=500.0, stood_still_ms=lambda: stood_still_ms)
-        gate.arrive(Ticket(CLAIM, 3000.0), 0.0)
+        limiter = Gate(1, 50, max_wait_ms=500.0, stood_still_ms=lambda: stood_still_ms)
+        limiter.arrive(Ticket(CLAIM, 3000.0), 0.0)
         stood_still_ms = 700.0
         after_pause, late = Ticket(CLAIM, 3800.0), Ticket(CLAIM, 4500.0)
-        gate.arrive(after_pause, 800.0)
+        limiter.arrive(after_pause, 800.0)
         self.assertEqual(after_pause.state, WAITING)
-        gate.arrive(late, 1500.0)
+        limiter.arrive(late, 1500.0)
         self.assertEqual(late.state, REFUSED)
 
     def test_frozen_server_does_not_accumulate_callers(self):
@@ -349,11 +351,11 @@
         Waiting callers are told to retry within the longest wait instead of at their
         deadlines; later ones are rejected immediately.
         """
-        gate = Gate(1, 50, max_wait_ms=500.0)
-        gate.arrive(Ticket(CLAIM, 3000.0), 0.0)
+        limiter = Gate(1, 50, max_wait_ms=500.0)
+        limiter.arrive(Ticket(CLAIM, 3000.0), 0.0)
         early, late = Ticket(CLAIM, 3100.0), Ticket(CLAIM, 3800.0)
-        gate.arrive(early, 100.0)
+        limiter.arrive(early, 100.0)
         self.assertEqual(early.state, WAITING)
-        self.assertLessEqual(gate.latest_start_ms(early), 1100.0)
-        gate.arrive(late, 800.0)
+        self.assertLessEqual(limiter.latest_start_ms(early), 1100.0)
+        limiter.arrive(late, 800.0)
         self.assertEqual(late.state, REFUSED)
--- a/tests/test_hotspots.py
+++ b/tests/test_hotspots.py
@@ -45,8 +45,8 @@
         """Move hot keys until none is left to move; return table and move count."""
         n_moved = 0
         for _ in range(rounds):
-            heat = Heat(work, request_ms, WINDOW_MS)
-            moved = spread_heat(table, servers(n), heat)
+            key_load = Heat(work, request_ms, WINDOW_MS)
+            moved = spread_heat(table, servers(n), key_load)
             if not moved:
                 break
             n_moved += sum(item.is_moving for item in moved)
@@ -76,8 +76,8 @@
             for _ in range(120):
                 first = rng.choice(table.ranges).first
                 work[first] = work.get(first, 0.0) + 600.0
-            heat = Heat(work, 600.0, WINDOW_MS)
-            n_moved += len(spread_heat(table, servers(15), heat))
+            key_load = Heat(work, 600.0, WINDOW_MS)
+            n_moved += len(spread_heat(table, servers(15), key_load))
         self.assertLess(n_moved, 20)
 
     def test_servers_with_low_utilization_keep_their_keys(self):
@@ -141,9 +141,9 @@
             if item.owner not in ("s4", "s9")
         ]
         work = {item.first + at: 90.0 for at in (8, 10)} | {item.first + 9: 9000.0}
-        heat = Heat(work, 90.0, WINDOW_MS)
+        key_load = Heat(work, 90.0, WINDOW_MS)
         for _ in range(3):
-            changed = spread_heat(table, candidates, heat)
+            changed = spread_heat(table, candidates, key_load)
             table = table.with_ranges([r.settled() for r in changed])
         owned = table.find(item.first + 9)
         self.assertEqual((owned.owner, owned.n_keys), ("s4", 1))
@@ -173,8 +173,8 @@
         for _ in range(rng.randrange(20, 900)):
             key = int(rng.gauss(centre, width)) % N_KEYS
             work[key] = work.get(key, 0.0) + rng.expovariate(1 / 150.0)
-        heat = Heat(work, 150.0, WINDOW_MS)
-        changed = spread_heat(table, servers(n, slots), heat)
+        key_load = Heat(work, 150.0, WINDOW_MS)
+        changed = spread_heat(table, servers(n, slots), key_load)
         after = table.with_ranges([item.settled() for item in changed])
         self.assertEqual(
             (after.ranges[0].first, after.ranges[-1].last), (0, N_KEYS - 1)
@@ -242,8 +242,8 @@
                 last_move_ms = now_ms
                 counts.add(recorder.take({"parts": table}), now_ms)
                 if moves:
-                    heat = counts.heat_of("parts", now_ms)
-                    changed = spread_heat(table, owners, heat)
+                    key_load = counts.heat_of("parts", now_ms)
+                    changed = spread_heat(table, owners, key_load)
                     table = table.with_ranges([item.settled() for item in changed])
         return n_in_time / n
 
@@ -362,12 +362,12 @@
     def test_load_is_halved_in_a_half_life(self):
         counts = HeatCounts()
         counts.add({"parts": {"7": [10, 1000]}}, 50_000.0)
-        heat = counts.heat_of("parts", 50_000.0 + HALF_LIFE_MS)
-        self.assertAlmostEqual(heat.by_key[7], 500.0)
-        self.assertAlmostEqual(heat.request_ms, 100.0)
+        key_load = counts.heat_of("parts", 50_000.0 + HALF_LIFE_MS)
+        self.assertAlmostEqual(key_load.by_key[7], 500.0)
+        self.assertAlmostEqual(key_load.request_ms, 100.0)
         counts.add({"parts": {"7": [1, 100]}}, 50_000.0 + 2 * HALF_LIFE_MS)
-        heat = counts.heat_of("parts", 50_000.0 + 2 * HALF_LIFE_MS)
-        self.assertAlmostEqual(heat.by_key[7], 350.0)
+        key_load = counts.heat_of("parts", 50_000.0 + 2 * HALF_LIFE_MS)
+        self.assertAlmostEqual(key_load.by_key[7], 350.0)
 
     def test_keys_without_recent_load_are_dropped(self):
         counts = HeatCounts()
