--- a/src/tarragonramp/admission.py
+++ b/src/tarragonramp/admission.py
@@ -205,7 +205,7 @@
             self._admit(ticket)
             return []
         # A server that has not responded for some time is assumed to stay silent:
-        # if it is frozen, all requests in flight there are stuck.
+        # if it is paused, all requests in flight there are stuck.
         own_pause_ms = self.stood_still_ms() - self._progress_pause_ms
         silent_ms = now_ms - self._progress_ms - own_pause_ms - self.mean_latency_ms
         wait_ms = max(self._expected_wait_ms(ticket.priority), silent_ms)
--- a/src/tarragonramp/balancing.py
+++ b/src/tarragonramp/balancing.py
@@ -245,7 +245,7 @@
         return self._stats_of(name).typical_slowdown(now_ms)
 
     def is_backing_off(self, name, now_ms):
-        """Tell whether a connection attempt to a server failed a moment ago."""
+        """Tell whether a connection attempt to a server failed recently."""
         return self._stats_of(name).backoff_until_ms > now_ms
 
     def work_ms(self, route):
--- a/src/tarragonramp/reachability.py
+++ b/src/tarragonramp/reachability.py
@@ -8,7 +8,7 @@
 """How long the oldest request may be unanswered, with no other response since, before
 the server is probed.
 
-If a server is frozen or cut off, each caller that requests one of its keys would wait
+If a server is paused or cut off, each caller that requests one of its keys would wait
 for its whole deadline, and a claim would end with an unknown outcome instead of being
 rejected as not run. A missing response alone rejects no request, because a long request
 looks the same; it only triggers a probe. A shorter time would probe servers that are
--- a/src/tarragonramp/spreading.py
+++ b/src/tarragonramp/spreading.py
@@ -38,7 +38,7 @@
 """How long a neighbour may have newer data before its updates are fetched.
 
 Twice the ping interval, because updates normally arrive sooner. This is the only
-detection of a watch or parent that is lost without a closed connection, frozen, or
+detection of a watch or parent that is lost without a closed connection, paused, or
 served an old state.
 """
 
--- a/src/tarragonramp/stragglers.py
+++ b/src/tarragonramp/stragglers.py
@@ -1,4 +1,4 @@
-"""Ejects slow or failed servers of a shared service for a moment.
+"""Ejects slow or failed servers of a shared service temporarily.
 
 Decisions without I/O, based on one entry's own observations: a server's load reports
 lag behind a short slowdown, and its health checks pass during it.
@@ -92,7 +92,7 @@
         return statistics.median_low(logs) + math.log(OUTLIER_RATIO)
 
     def eject(self, server, now_ms):
-        """Eject a server for a moment; its latency is measured anew afterwards."""
+        """Eject a server temporarily; its latency is measured anew afterwards."""
         self._latencies[server] = _ServerLatency(ejected_until_ms=now_ms + EJECTION_MS)
 
     def usable(self, routes, now_ms):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -345,8 +345,8 @@
         limiter.arrive(late, 1500.0)
         self.assertEqual(late.state, REFUSED)
 
-    def test_frozen_server_does_not_accumulate_callers(self):
-        """A server freezes with a request in flight, and callers keep arriving.
+    def test_paused_server_does_not_accumulate_callers(self):
+        """A server is paused with a request in flight, and callers keep arriving.
 
         Waiting callers are told to retry within the longest wait instead of at their
         deadlines; later ones are rejected immediately.
--- a/tests/test_reachability.py
+++ b/tests/test_reachability.py
@@ -8,8 +8,8 @@
 class ReachabilityTest(unittest.TestCase):
     """Requests to a silent server are rejected at once; those to a busy one are not."""
 
-    def test_frozen_server_is_probed_once_and_found_down(self):
-        """A server freezes with requests in flight.
+    def test_paused_server_is_probed_once_and_found_down(self):
+        """A server is paused with requests in flight.
 
         The next request after a quarter of a second triggers a probe. Once the probe
         fails, further requests are rejected instead of waiting until their deadlines.
--- a/tests/test_spreading_site.py
+++ b/tests/test_spreading_site.py
@@ -99,20 +99,20 @@
         self.assertEqual(calls["GET objects"], before["GET objects"])
         self.wait_for_watches(2)
 
-    def test_killed_and_frozen_watchers_are_replaced(self):
+    def test_killed_and_paused_watchers_are_replaced(self):
         """A failure domain is taken out of service while both watchers are down.
 
-        One is killed, so its connections close; the other is frozen, so no connection
+        One is killed, so its connections close; the other is paused, so no connection
         closes and its followers only wait. If no daemon replaced them, all followers
         would keep sending requests to the failure domain.
         """
-        killed, frozen, *others = self.names
+        killed, paused, *others = self.names
         self.site.kill(killed)
-        self.site.signal(frozen, signal.SIGSTOP)
+        self.site.signal(paused, signal.SIGSTOP)
         version = self.write("FailureDomain", "c", {"state": "out"})
         self.wait_until_known(version, others)
-        self.site.signal(frozen, signal.SIGCONT)
-        self.wait_until_known(version, [frozen])
+        self.site.signal(paused, signal.SIGCONT)
+        self.wait_until_known(version, [paused])
 
     def test_a_platform_that_shows_the_past_reverts_nobody(self):
         """The platform's reads return an old state while operators continue to write.
