--- /dev/null
+++ b/src/tarragonramp/cold_start.py
@@ -0,0 +1,83 @@
+"""Limits how many requests each daemon sends to a server in a cold start, without I/O.
+
+A server in a cold start can handle a few requests a second from all daemons together
+and fails beyond that. Daemons have to stay within this limit without coordination.
+"""
+
+import collections
+
+import attrs
+import xxhash
+
+__all__ = ["ColdStartLimiter"]
+
+USED_RATE_SHARE = 0.8
+"""Fraction of the allowed rate that is used. The daemons notice a change in their
+number at different times, so there may be one more sender than assumed."""
+
+WINDOW_MS = 1100.0
+"""A little longer than the second over which requests are counted, both when sent and
+when received, because the clocks of VMs differ slightly in speed."""
+
+ASSUMED_DAEMONS = 16
+"""Number of daemons that a daemon assumes until it knows the actual number."""
+
+
+@attrs.define(eq=False, repr=False)
+class ColdStartLimiter:
+    """This daemon's share of the requests that servers in a cold start can handle.
+
+    When a failure domain returns, all its servers are cold while callers keep sending;
+    overloaded servers would fail and start cold again. The share that does not divide
+    evenly among the daemons (all of it if the limit is less than one request per
+    daemon) goes to some of them. They are chosen by a hash of the names of server and
+    daemon, so all daemons agree without communicating.
+
+    Parameters
+    ----------
+    name : str
+        Name of this daemon.
+    """
+
+    name: str
+    _sent_ms: dict = attrs.Factory(dict)
+
+    def try_acquire(self, server, bound_per_s, daemons, now_ms):
+        """Reserve one request to a cold server if this daemon's share allows it.
+
+        Parameters
+        ----------
+        server : str
+        bound_per_s : float
+            Requests that the server can handle in any second, from all daemons
+            together.
+        daemons : collection of str
+            Names of all daemons; empty if they are not known.
+        now_ms : float
+
+        Returns
+        -------
+        taken : bool
+        """
+        quota = self._quota(server, int(bound_per_s * USED_RATE_SHARE), daemons)
+        sent = self._sent_ms.setdefault(server, collections.deque())
+        while sent and sent[0] <= now_ms - WINDOW_MS:
+            sent.popleft()
+        if len(sent) >= quota:
+            return False
+        sent.append(now_ms)
+        return True
+
+    def _quota(self, server, budget, daemons):
+        """Return how many requests in a window are this daemon's share."""
+        if not daemons:
+            return budget // ASSUMED_DAEMONS
+        quota, remainder = divmod(budget, len(daemons))
+        return quota + self._gets_remainder(server, daemons, remainder)
+
+    def _gets_remainder(self, server, daemons, n_chosen):
+        def rank(daemon):
+            return xxhash.xxh64_intdigest(f"{server} {daemon}".encode())
+
+        own_rank = rank(self.name)
+        return sum(rank(daemon) < own_rank for daemon in daemons) < n_chosen
--- a/src/tarragonramp/daemon.py
+++ b/src/tarragonramp/daemon.py
@@ -40,6 +40,7 @@
 from .errors import AddressError  # noqa: E402
 from .meters import RequestMeter, TrafficMeter  # noqa: E402
 from .model import Member  # noqa: E402
+from .propagation import PLATFORM  # noqa: E402
 from .roles.audit import AuditTrail  # noqa: E402
 from .roles.control import Control  # noqa: E402
 from .roles.entry import Entry  # noqa: E402
@@ -54,7 +55,6 @@
 from .roles.tasks import keep_running, task_failures  # noqa: E402
 from .roles.terms import TermKeeper  # noqa: E402
 from .settings import load_settings  # noqa: E402
-from .spreading import PLATFORM  # noqa: E402
 from .view import View  # noqa: E402
 
 __all__ = ["Daemon", "main"]
--- a/src/tarragonramp/dialect.py
+++ b/src/tarragonramp/dialect.py
@@ -4,11 +4,11 @@
 
 import attrs
 
-from .request import HOP_HEADERS, named_by_connection
+from .request import HOP_BY_HOP_HEADERS, named_by_connection
 
 __all__ = ["ResponseFacts", "Dialect", "RequestFacts", "end_to_end_headers"]
 
-_ROUTING_HEADERS = HOP_HEADERS - {"host"}
+_ROUTING_HEADERS = HOP_BY_HOP_HEADERS - {"host"}
 
 
 @attrs.frozen
--- a/src/tarragonramp/fleet.py
+++ b/src/tarragonramp/fleet.py
@@ -21,9 +21,9 @@
 from .adapters.serving import DaemonServer
 from .adapters.usage import CpuMeter
 from .adapters.web import json_reply
-from .balancing import Loads
+from .balancing import ServerSelector
 from .clock import SuspendAwareClock
-from .cold import ColdShares
+from .cold_start import ColdStartLimiter
 from .errors import AddressError
 from .fleet_view import FOLLOWED_KINDS, FleetView
 from .leadership import LeaseTiming
@@ -178,7 +178,7 @@
         view = FleetView(clock)
         peers = FleetPeers(view, settings.name)
         follower = Follower(view, ports.store, peers, ports, clock)
-        loads = Loads(settings.failure_domain)
+        selector = ServerSelector(settings.failure_domain)
         leadership = Leadership(
             settings.name,
             uuid.uuid4().hex[:12],
@@ -187,7 +187,7 @@
             ports.store,
             peers,
             follower,
-            loads,
+            selector,
             clock,
             settings.seeds,
             LeaseTiming.from_bounds(settings.bounds),
@@ -202,8 +202,8 @@
         }
         router = Router(
             view,
-            loads,
-            ColdShares(settings.name),
+            selector,
+            ColdStartLimiter(settings.name),
             HttpPools(32 << 20, user_timeout_ms=USER_TIMEOUT_MS, options=options),
             ports.dialect,
             settings.bounds,
@@ -334,7 +334,7 @@
         """Periodically drop the state of removed servers and finished moves."""
         while True:
             gevent.sleep(10.0)
-            self.router.loads.forget(self.view.directory.servers)
+            self.router.selector.retain(self.view.directory.servers)
             self.router.owners.forget_slow_moves()
 
     def _serve_readiness(self, environ, start_response):
--- a/src/tarragonramp/fleet_view.py
+++ b/src/tarragonramp/fleet_view.py
@@ -5,7 +5,7 @@
 from gevent.event import Event
 
 from .directory import Directory
-from .heat import WorkCounts
+from .key_load import KeyLoadRecorder
 from .manifest import FleetService
 from .ranges import RangeTable
 
@@ -42,7 +42,7 @@
     watchers : frozenset of str
         Names of the daemons that this daemon, as leader, has told to follow the store;
         empty if it does not lead.
-    work : WorkCounts
+    work : KeyLoadRecorder
         Load by key of the requests that this daemon sent.
     """
 
@@ -53,7 +53,7 @@
     daemons: dict = attrs.Factory(dict)
     watchers: frozenset = frozenset()
     servers_loaded: bool = False
-    work: WorkCounts = attrs.Factory(WorkCounts)
+    work: KeyLoadRecorder = attrs.Factory(KeyLoadRecorder)
     _table_versions: dict = attrs.Factory(dict)
     _changed: Event = attrs.Factory(Event)
 
--- a/src/tarragonramp/gates.py
+++ b/src/tarragonramp/gates.py
@@ -13,7 +13,7 @@
 from .leases import CLOCK_RATE_MARGIN
 from .terms import RIGHT_MARGIN
 
-__all__ = ["Admission", "Gate", "ForwardedRequest", "WarmupState"]
+__all__ = ["Admission", "Gate", "ForwardedRequest", "ColdStartState"]
 
 MIN_DEADLINE_MS = 5.0
 """Deadlines shorter than this pass before the server has started."""
@@ -106,7 +106,7 @@
         working on may outlast the right.
     """
 
-    warmup: object
+    cold_start: object
     longest_ms: float
     earlier_right_ends_ms: float
     earlier_longest_ms: float
@@ -137,14 +137,14 @@
         that steward's requests: in a cold start it would get twice the load that it can
         take.
         """
-        if now_ms < self.earlier_right_ends_ms and not self.warmup.is_warm(now_ms):
+        if now_ms < self.earlier_right_ends_ms and not self.cold_start.is_warm(now_ms):
             return True
-        return self.in_flight >= self.warmup.max_in_flight(now_ms)
+        return self.in_flight >= self.cold_start.max_in_flight(now_ms)
 
     @property
     def is_queue_full(self):
         """Whether the queue is full, so that another request is refused at once."""
-        return self.waiting >= self.warmup.slots * MAX_WAITING_PER_SLOT
+        return self.waiting >= self.cold_start.slots * MAX_WAITING_PER_SLOT
 
     def admit(self, slice_index, now_ms, deadline_at_ms, right_ends_ms):
         """Decide immediately before sending whether a request may be sent.
@@ -275,7 +275,7 @@
 
 
 @attrs.define
-class WarmupState:
+class ColdStartState:
     """How much load a server can take, as tracked by its steward.
 
     Parameters
--- a/src/tarragonramp/roles/entry.py
+++ b/src/tarragonramp/roles/entry.py
@@ -20,10 +20,11 @@
     error_reply,
     read_body,
 )
-from ..admission import ADMITTED, WAITING, Gate, Outcome, Ticket
+from ..admission import ADMITTED, WAITING, ConcurrencyLimiter, Outcome, Ticket
 from ..errors import AbandonedError, NotSentError, RequestError
 from ..gates import ForwardedRequest
 from ..meters import ANSWERED, NOT_RUN, UNKNOWN
+from ..outliers import OutlierDetector
 from ..permits import DirectSendPermits
 from ..reachability import Reachability
 from ..request import (
@@ -32,18 +33,17 @@
     EXCHANGE_HEADER,
     OUTCOME_HEADER,
     Request,
-    answer_headers,
+    caller_response_headers,
     check_path,
     class_of,
     deadline_ms,
-    end_to_end,
+    end_to_end_request_headers,
     key_of,
     request_id,
 )
 from ..retries import RetryBudget
-from ..routing import Routes, less_loaded
+from ..routing import RouteCache, less_loaded
 from ..slices import slice_of
-from ..stragglers import Ejections
 
 __all__ = ["Entry"]
 
@@ -96,11 +96,13 @@
     backends: object
     forward: object = None
     total_pause_ms: object = lambda: 0.0
-    _routes: Routes = attrs.field(init=False)
+    _routes: RouteCache = attrs.field(init=False)
     _limiters: dict = attrs.Factory(dict)
     _direct_permits: DirectSendPermits = attrs.Factory(DirectSendPermits)
     _reachability: dict = attrs.Factory(lambda: collections.defaultdict(Reachability))
-    _outlier_detectors: dict = attrs.Factory(lambda: collections.defaultdict(Ejections))
+    _outlier_detectors: dict = attrs.Factory(
+        lambda: collections.defaultdict(OutlierDetector)
+    )
     _rng: random.Random = attrs.Factory(random.Random)
     _view_changed: Event = attrs.Factory(Event)
     _budgets: dict = attrs.Factory(lambda: collections.defaultdict(RetryBudget))
@@ -110,7 +112,7 @@
 
     def __attrs_post_init__(self):
         """Subscribe to view changes, to wake requests that wait for a route."""
-        self._routes = Routes(self.view)
+        self._routes = RouteCache(self.view)
         self.view.on_change(self._on_view_change)
 
     def __call__(self, environ, start_response):
@@ -126,7 +128,7 @@
             return _refusal_response(start_response, error, assigned_id)
         finally:
             self.meter.finish(times, outcome, self.clock.now_ms())
-        headers = answer_headers(answer, assigned_id)
+        headers = caller_response_headers(answer, assigned_id)
         return backend_reply(start_response, environ["REQUEST_METHOD"], answer, headers)
 
     def _serve(self, environ, assigned_id, times):
@@ -150,7 +152,7 @@
         return Request(
             method=method,
             target=environ[TARGET_KEY],
-            headers=end_to_end(headers),
+            headers=end_to_end_request_headers(headers),
             body=read_body(environ, self.limits.body_bytes, caller_timeout_ms),
             request_id=assigned_id,
             deadline_at_ms=times.began_ms + caller_timeout_ms,
@@ -272,7 +274,7 @@
         n_entries = self._routes.n_entries()
         limiter = self._limiters.get(server)
         if limiter is None:
-            limiter = self._limiters[server] = Gate(
+            limiter = self._limiters[server] = ConcurrencyLimiter(
                 slots, connections, n_entries, total_pause_ms=self.total_pause_ms
             )
         else:
@@ -296,7 +298,7 @@
             raise request.refusal(503, SERVER_UNRESPONSIVE, self._retry_after_s())
         limiter = self._limiter_for(route.server, service)
         ticket = Ticket(request.caller_class.priority, request.deadline_at_ms)
-        _notify(limiter.arrive(ticket, self.clock.now_ms()))
+        _notify(limiter.submit(ticket, self.clock.now_ms()))
         if ticket.state == ADMITTED:
             return limiter
         if ticket.state == WAITING:
@@ -305,7 +307,7 @@
             )
         if is_current is not None and not is_current():
             if ticket.state == ADMITTED:
-                _notify(limiter.leave(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
+                _notify(limiter.release(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
             return None
         if ticket.state == ADMITTED:
             return limiter
@@ -320,7 +322,9 @@
             asked_ms = self.clock.now_ms()
             timeout_ms = self.timing.control_timeout_ms
             result = self.backends.probe(route.address, timeout_ms)
-            if server_reachability.probed(is_successful(result), self.clock.now_ms()):
+            if server_reachability.probe_ended(
+                is_successful(result), self.clock.now_ms()
+            ):
                 return
             vm = self.view.vms.get(route.server)
             if vm is None or vm.address != route.address:
@@ -344,7 +348,7 @@
         except BaseException:
             # The greenlet is being killed; release its slot here, as nothing else does.
             if ticket.state == ADMITTED:
-                _notify(limiter.leave(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
+                _notify(limiter.release(Outcome.CANCELLED, 0.0, self.clock.now_ms()))
             raise
         finally:
             if ticket.state == WAITING:
@@ -355,7 +359,7 @@
         sent_ms, paused_before_ms = self.clock.now_ms(), self.total_pause_ms()
         outcome = Outcome.CANCELLED
         server_reachability = self._reachability[route.server]
-        number, answered = server_reachability.sent(sent_ms), False
+        number, answered = server_reachability.request_sent(sent_ms), False
         try:
             result = self._send(route, request, sent_ms)
             answered = is_successful(result)
@@ -366,8 +370,8 @@
             request.times.service_ms += now_ms - sent_ms
             # Exclude pauses of this process from the server's latency.
             took_ms = now_ms - sent_ms - (self.total_pause_ms() - paused_before_ms)
-            server_reachability.ended(number, answered, now_ms)
-            _notify(limiter.leave(outcome, took_ms, now_ms))
+            server_reachability.request_ended(number, answered, now_ms)
+            _notify(limiter.release(outcome, took_ms, now_ms))
             if outliers is not None and outcome == Outcome.ANSWERED:
                 outliers.note_answer(route.server, took_ms, now_ms)
             elif outliers is not None and outcome == Outcome.LOST:
@@ -495,7 +499,7 @@
 
     def _on_view_change(self):
         """Drop cached routes and wake all requests that wait for one."""
-        self._routes.forget()
+        self._routes.invalidate()
         changed, self._view_changed = self._view_changed, Event()
         changed.set()
 
--- a/src/tarragonramp/roles/forwarding.py
+++ b/src/tarragonramp/roles/forwarding.py
@@ -72,7 +72,7 @@
             return _refusal(request, STALE_ROUTE_STATUS, "not this server's steward")
         pools = (self.pools, self.control_pools)
         if any(pool.at(managed.vm.address).has_closed_idle() for pool in pools):
-            managed.gate.warmup.invalidate()
+            managed.gate.cold_start.invalidate()
         wait_until_ms = deadline_at_ms
         if request.slice_index < 0:
             # Requests to shared services can be retried at another server.
@@ -161,19 +161,19 @@
             if ended:
                 managed.gate.answered(request.slice_index)
             else:
-                managed.gate.warmup.invalidate()
+                managed.gate.cold_start.invalidate()
                 managed.gate.unanswered(request.slice_index, self.clock.now_ms())
             self._wake_waiting()
 
     def _mark_direct(self, managed, answer):
         """Return a response, marked if the entry may send to the server directly."""
         now_ms = self.clock.now_ms()
-        warmup = managed.gate.warmup
+        cold_start = managed.gate.cold_start
         if answer.header(OUTCOME_HEADER) == NOT_RUN and answer.status == BUSY_STATUS:
-            warmup.shed(now_ms)
+            cold_start.shed(now_ms)
         if answer.header(COLD_HEADER):
-            warmup.invalidate()
-        if not managed.checks or not warmup.is_warm(now_ms):
+            cold_start.invalidate()
+        if not managed.checks or not cold_start.is_warm(now_ms):
             return answer
         return attrs.evolve(answer, headers=(*answer.headers, (DIRECT_HEADER, "1")))
 
--- a/src/tarragonramp/roles/granter.py
+++ b/src/tarragonramp/roles/granter.py
@@ -16,14 +16,14 @@
 from returns.pipeline import is_successful
 
 from ..adapters.logs import log_event
-from ..dealing import Candidate, first_deal, plan_moves
 from ..errors import (
     ConflictError,
     NotFoundError,
     OvertakenGrantError,
 )
 from ..fleet_view import RANGES
-from ..hotspots import busy_servers, spread_heat
+from ..hotspots import busy_servers, rebalance_hot_keys
+from ..range_placement import Candidate, initial_table, plan_moves
 from .grants import GrantTracker
 from .mover import Mover
 from .relay import MIN_RANGES, has_no_connection
@@ -175,7 +175,9 @@
             candidates,
             lambda item: self._keeps_owner(service, item),
             n_moving,
-            lambda: busy_servers(newer, candidates, self.leadership.heat_of(service)),
+            lambda: busy_servers(
+                newer, candidates, self.leadership.recent_load(service)
+            ),
         )
         if not changed and not n_moving:
             changed = self._rebalance(service, newer, candidates)
@@ -276,7 +278,9 @@
         if now_ms < self._last_rebalance_ms.get(service, 0.0) + REBALANCE_INTERVAL_MS:
             return []
         self._last_rebalance_ms[service] = now_ms
-        return spread_heat(table, candidates, self.leadership.heat_of(service))
+        return rebalance_hot_keys(
+            table, candidates, self.leadership.recent_load(service)
+        )
 
     def _candidates(self, service):
         directory, now_ms = self.view.directory, self.clock.now_ms()
@@ -291,7 +295,7 @@
                 server.life,
                 server.address,
                 server.slots,
-                self.leadership.loads.speed(server.name, now_ms),
+                self.leadership.selector.slowdown(server.name, now_ms),
             )
             for server in reached or warm or usable
         ]
@@ -320,7 +324,7 @@
         if not candidates or now_ms < since_ms + INITIAL_ASSIGNMENT_DELAY_MS:
             return None
         log_event("keys-dealt", service=service, servers=len(candidates))
-        assigned = first_deal(service, candidates)
+        assigned = initial_table(service, candidates)
         return self._write(service, assigned, assigned.ranges)
 
     def _write(self, service, table, renewed=()):
--- a/src/tarragonramp/roles/leadership.py
+++ b/src/tarragonramp/roles/leadership.py
@@ -9,7 +9,7 @@
 
 from ..adapters.logs import log_event
 from ..errors import ConflictError, NotFoundError
-from ..heat import HeatCounts
+from ..key_load import KeyLoadAggregate
 from ..leadership import (
     LATE_GRANT_MS,
     InheritedGrants,
@@ -102,7 +102,7 @@
     peers : FleetPeers
     follower : Follower
         Receives the updates of peers.
-    loads : Loads
+    selector : ServerSelector
         Shared among the daemons.
     clock : Clock
     seeds : tuple of str
@@ -122,7 +122,7 @@
     store: object
     peers: object
     follower: object
-    loads: object
+    selector: object
     clock: object
     seeds: tuple = ()
     timing: LeaseTiming = LeaseTiming()
@@ -130,7 +130,7 @@
     stopping: bool = False
     inherited: InheritedGrants = InheritedGrants()
     in_doubt_grants: object = InheritedGrants
-    _key_loads: HeatCounts = attrs.Factory(HeatCounts)
+    _key_loads: KeyLoadAggregate = attrs.Factory(KeyLoadAggregate)
     _reported_loads: dict = attrs.Factory(dict)
     _last_heard_ms: dict = attrs.Factory(dict)
     _domains: dict = attrs.Factory(dict)
@@ -307,7 +307,7 @@
 
     def _loads_except(self, name, now_ms):
         """Return the requests in flight by server, of all daemons but one."""
-        totals = dict(self.loads.in_hand()) if name != self.name else {}
+        totals = dict(self.selector.in_flight_by_server()) if name != self.name else {}
         for other, (loads, at_ms) in self._reported_loads.items():
             if other == name or at_ms < now_ms - LOADS_VALID_MS:
                 continue
@@ -339,7 +339,7 @@
 
         Empty if the domain is this daemon's own.
         """
-        if domain == self.loads.failure_domain:
+        if domain == self.selector.failure_domain:
             return []
         oldest_ms = self.clock.now_ms() - RECENTLY_HEARD_MS
         return [
@@ -393,8 +393,8 @@
         leads = self.standing.is_named
         return {"boot_id": self.boot_id, "leads": leads, "doubts": in_doubt_grants}
 
-    def heat_of(self, service):
-        return self._key_loads.heat_of(service, self.clock.now_ms())
+    def recent_load(self, service):
+        return self._key_loads.recent_load(service, self.clock.now_ms())
 
     def _record_daemon(self, name, address):
         now_ms = self.clock.now_ms()
@@ -417,8 +417,10 @@
         if is_successful(result):
             self.standing.confirmed(record, result.unwrap().version, sent_ms)
             now_ms = self.clock.now_ms()
-            self._key_loads.add(self.view.work.take(self.view.tables), now_ms)
-            self.loads.take_told(self._loads_except(self.name, now_ms), now_ms)
+            self._key_loads.add(self.view.work.drain(self.view.tables), now_ms)
+            self.selector.update_peer_in_flight(
+                self._loads_except(self.name, now_ms), now_ms
+            )
             return
         error = result.failure()
         if isinstance(error, ConflictError):
@@ -597,12 +599,12 @@
         message = {
             "name": self.name,
             "address": self.address,
-            "domain": self.loads.failure_domain,
+            "domain": self.selector.failure_domain,
             "clock_ms": int(self.clock.now_ms()),
-            "heat": self.view.work.take(self.view.tables),
+            "heat": self.view.work.drain(self.view.tables),
             "versions": self.follower.changed,
             "n_daemons": len(self.view.daemons),
-            "loads": self.loads.in_hand(),
+            "loads": self.selector.in_flight_by_server(),
         }
         if self.follower.follows_store:
             message["digest"] = self.view.digest()
@@ -646,7 +648,7 @@
             self.follower.follow_store("news not understood")
             return
         if loads is not None:
-            self.loads.take_told(loads, self.clock.now_ms())
+            self.selector.update_peer_in_flight(loads, self.clock.now_ms())
         self.follower.compare_digests(address, response.get("digest", {}))
         if response.get("watch"):
             self.follower.follow_store("told by the leader")
--- a/src/tarragonramp/roles/membership.py
+++ b/src/tarragonramp/roles/membership.py
@@ -8,7 +8,7 @@
 
 from ..adapters.logs import log_event
 from ..model import KIND_FAILURE_DOMAIN, KIND_MEMBER
-from ..spreading import start_delay_ms
+from ..propagation import start_delay_ms
 from ..terms import has_departed
 
 __all__ = ["Membership"]
--- a/src/tarragonramp/roles/news.py
+++ b/src/tarragonramp/roles/news.py
@@ -9,9 +9,9 @@
 
 from ..adapters.logs import log_event
 from ..model import KIND_MEMBER, VIEWED_KINDS
-from ..spreading import (
+from ..propagation import (
     PLATFORM,
-    Sources,
+    SourceHealth,
     fallback_ms,
     outside_sources,
     retry_ms,
@@ -61,7 +61,7 @@
     _objects_read: bool = False
     _vms_read: bool = False
     source: str | None = None
-    sources: Sources = attrs.Factory(Sources)
+    sources: SourceHealth = attrs.Factory(SourceHealth)
     _failures: int = 0
     _catching_up: bool = False
     _last_poll_ms: float = 0.0
@@ -107,7 +107,7 @@
         """
         if self._catching_up:
             return
-        if self.sources.lags(name, newest, self.view.newest, self.clock.now_ms()):
+        if self.sources.needs_pull(name, newest, self.view.newest, self.clock.now_ms()):
             self._catching_up = True
             gevent.spawn(self._catch_up, name)
 
--- a/src/tarragonramp/roles/router.py
+++ b/src/tarragonramp/roles/router.py
@@ -17,11 +17,11 @@
     error_reply,
     read_body,
 )
-from ..balancing import Refused, Wanted
+from ..balancing import Rejection, Requirements
 from ..connections import connection_share, may_connect
 from ..errors import AbandonedError, NotSentError, RequestError
 from ..meters import ANSWERED, NOT_RUN, UNKNOWN
-from ..request import end_to_end_answer
+from ..request import end_to_end_response_headers
 from ..retries import RetryBudget
 from .owners import NO_OWNER_RETRY_S, OwnerResolver
 from .routed_request import RoutedRequest
@@ -65,8 +65,8 @@
     Parameters
     ----------
     view : FleetView
-    loads : Loads
-    cold : ColdShares
+    selector : ServerSelector
+    cold : ColdStartLimiter
     pools : HttpPools
     dialect : Dialect
     bounds : FleetBounds
@@ -78,7 +78,7 @@
     """
 
     view: object
-    loads: object
+    selector: object
     cold: object
     pools: object
     dialect: object
@@ -109,7 +109,7 @@
             return self._refuse(start_response, error, request_id)
         finally:
             self.meter.finish(times, outcome, self.clock.now_ms())
-        headers = end_to_end_answer(answer)
+        headers = end_to_end_response_headers(answer)
         return backend_reply(start_response, environ["REQUEST_METHOD"], answer, headers)
 
     def _read_facts(self, environ):
@@ -187,14 +187,14 @@
             now_ms = self.clock.now_ms()
         else:
             servers = self._candidates(request)
-        wanted = Wanted(
+        wanted = Requirements(
             request.route.name,
             request.until_ms - now_ms,
             request.arrived_ms + request.route.target_ms - now_ms,
             self.view.routes.is_urgent(request.route),
         )
-        choice = self.loads.choose(servers, wanted, now_ms)
-        if isinstance(choice, Refused):
+        choice = self.selector.select(servers, wanted, now_ms)
+        if isinstance(choice, Rejection):
             self._count_refused_work(request)
             raise request.retryable_refusal(
                 choice.reason, choice.retry_after_s, **choice.inputs
@@ -210,7 +210,7 @@
         idle. Too few of its keys would move away, or more keys would move to it.
         """
         if self.view.service(request.service).divided:
-            took_ms = self.loads.work_ms(request.route.name)
+            took_ms = self.selector.work_ms(request.route.name)
             self.view.work.note(request.service, request.key, took_ms)
 
     def _candidates(self, request):
@@ -244,8 +244,8 @@
 
     def _has_free_connection(self, server):
         limit = self.view.service(server.service).connections
-        own = self.loads.in_flight(server.name)
-        others = self.loads.told_in_flight(server.name, self.clock.now_ms())
+        own = self.selector.in_flight(server.name)
+        others = self.selector.peer_in_flight(server.name, self.clock.now_ms())
         return may_connect(limit, self._n_daemons(), own, others)
 
     def _take_cold_share(self, request, server, now_ms):
@@ -255,7 +255,7 @@
         bound = cold_rate_per_s * self.bounds.cold_burst_factor + self.bounds.cold_slack
         # A daemon that knows only itself does not know how many there are.
         known = self.view.daemons if len(self.view.daemons) > 1 else ()
-        if not self.cold.take(server.name, bound, known, now_ms):
+        if not self.cold.try_acquire(server.name, bound, known, now_ms):
             self._count_refused_work(request)
             raise request.retryable_refusal("server is cold", COLD_SERVER_RETRY_S)
 
@@ -271,7 +271,7 @@
         limit = self.view.service(server.service).connections
         share = connection_share(limit, self._n_daemons())
         pool.max_idle = min(MAX_IDLE_CONNECTIONS, share)
-        self.loads.sent(chosen)
+        self.selector.record_sent(chosen)
         try:
             result = pool.exchange(
                 request.method,
@@ -282,7 +282,7 @@
                 request.is_wanted,
             )
         except BaseException:
-            self.loads.cancelled(chosen)
+            self.selector.record_cancellation(chosen)
             raise
         now_ms = self.clock.now_ms()
         took_ms = now_ms - began_ms
@@ -294,18 +294,18 @@
         result = result.map(lambda answer: (answer, self.dialect.read_response(answer)))
         _, facts = result.unwrap()
         if facts.not_run:
-            self.loads.shed(chosen, facts.load, now_ms)
+            self.selector.record_shed(chosen, facts.load, now_ms)
         else:
-            self.loads.answered(chosen, took_ms, facts.load, now_ms)
+            self.selector.record_response(chosen, took_ms, facts.load, now_ms)
         return result, took_ms
 
     def _record_failure(self, request, chosen, error, now_ms):
         if isinstance(error, AbandonedError) or now_ms >= request.until_ms:
-            self.loads.cancelled(chosen)
+            self.selector.record_cancellation(chosen)
             return
         server = chosen.server
         at_connect = isinstance(error, NotSentError)
-        self.loads.failed(chosen, now_ms, at_connect)
+        self.selector.record_failure(chosen, now_ms, at_connect)
         if at_connect and "refused" in str(error):
             # No process listens there: the server has ended. It will be cold if it
             # starts again, before its entry says so.
@@ -374,7 +374,7 @@
 
     def _has_time(self, request):
         left_ms = request.until_ms - self.clock.now_ms()
-        return left_ms > self.loads.work_ms(request.route.name) / 2
+        return left_ms > self.selector.work_ms(request.route.name) / 2
 
     def _log_failed_attempt(self, request, reason):
         self.counts[request.service, "try failed"] += 1
--- a/src/tarragonramp/roles/steward.py
+++ b/src/tarragonramp/roles/steward.py
@@ -10,7 +10,7 @@
 from ..adapters.logs import log_event
 from ..assignments import may_grant, tokens_of, with_steward_term
 from ..errors import ConflictError, NotSentError
-from ..gates import Gate, WarmupState
+from ..gates import ColdStartState, Gate
 from ..leases import END_MARGIN_MS, GrantLedger
 from ..model import KIND_ASSIGNMENT, SILENT, UNKNOWN, UP
 from ..terms import RIGHT_MARGIN
@@ -167,7 +167,7 @@
 
     def _new_gate(self, vm, service, held, right_ends_ms, checks):
         return Gate(
-            WarmupState(
+            ColdStartState(
                 service.cold_slots_per_server,
                 service.slots_per_server,
                 self.is_known_warm(vm.name, vm.address),
@@ -268,7 +268,7 @@
         restarted = managed.ledger.observe(answer, sent_ms, arrived_ms)
         managed.last_answer_ms = arrived_ms
         managed.gate.observe(answer.boot_id, sent_ms, arrived_ms)
-        managed.gate.warmup.observe(answer.boot_id, answer.cold, arrived_ms)
+        managed.gate.cold_start.observe(answer.boot_id, answer.cold, arrived_ms)
         if managed.ledger.fenced and self._holds_term(managed):
             held = self.keeper.holding(managed.role).held
             held.unbounded = False
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -20,9 +20,9 @@
 from gevent.event import Event
 from returns.result import Failure, Success
 
-from tarragonramp import dealing
+from tarragonramp import range_placement
 from tarragonramp.adapters.http import Response
-from tarragonramp.balancing import Loads
+from tarragonramp.balancing import ServerSelector
 from tarragonramp.clock import Clock
 from tarragonramp.directory import BackendServer
 from tarragonramp.errors import (
@@ -257,7 +257,7 @@
             self,
             self,
             follower,
-            Loads(process.domain),
+            ServerSelector(process.domain),
             self.clock,
         )
         self.granter = granter.Granter(
@@ -816,7 +816,7 @@
         for module in (granter, grants, mover, relay, leadership, tasks):
             patch(module, "log_event", quiet)
         # Fewer ranges make the same moves in less time.
-        patch(dealing, "RANGES_PER_SERVER", 3)
+        patch(range_placement, "RANGES_PER_SERVER", 3)
         world = World(seed, timeline, **options)
         stack.callback(world.close)
         yield world
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Success
 
 from tarragonramp.adapters.fleet_peers import PING, PeerApplication
-from tarragonramp.balancing import Chosen, Loads
+from tarragonramp.balancing import Selection, ServerSelector
 from tarragonramp.clock import ManualClock
 from tarragonramp.directory import MISSING_ROUTABLE_MS, BackendServer
 from tarragonramp.fleet_view import FOLLOWED_KINDS, SERVER, FleetView
@@ -66,7 +66,7 @@
         self.ping_all()
         for daemon in self.followers:
             for server in self.rng.sample(list(self.servers.values()), N_BUSY):
-                daemon.loads.sent(Chosen(server, "r", 0.0))
+                daemon.selector.record_sent(Selection(server, "r", 0.0))
         self.change(joining=1, leaving=0)
         self.ping_all()
 
@@ -76,7 +76,7 @@
         ports = types.SimpleNamespace(read_server=self.read_server)
         follower = Follower(view, None, None, ports, self.clock)
         arguments = f"boot-{name}", f"{name}:1", view, None, self.link, follower
-        created = Leadership(name, *arguments, Loads("san-juan"), self.clock)
+        created = Leadership(name, *arguments, ServerSelector("san-juan"), self.clock)
         created.standing.confirmed(RECORD, 1, self.clock.now_ms())
         return created
 
@@ -142,9 +142,9 @@
         now_ms = self.clock.now_ms()
         for daemon in self.followers[::10]:
             for name in self.servers:
-                counts = [d.loads.in_flight(name) for d in self.followers]
-                others_in_flight = sum(counts) - daemon.loads.in_flight(name)
-                told = daemon.loads.told_in_flight(name, now_ms)
+                counts = [d.selector.in_flight(name) for d in self.followers]
+                others_in_flight = sum(counts) - daemon.selector.in_flight(name)
+                told = daemon.selector.peer_in_flight(name, now_ms)
                 self.assertEqual(told or 0, others_in_flight)
 
 
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -9,16 +9,16 @@
 from returns.result import Success
 
 from tarragonramp.clock import Clock, ManualClock
-from tarragonramp.dealing import Candidate, first_deal
 from tarragonramp.directory import MISSING_ROUTABLE_MS, BackendServer
 from tarragonramp.fleet_view import RANGES, SERVER, FleetView
+from tarragonramp.range_placement import Candidate, initial_table
 from tarragonramp.ranges import RangeTable
 from tarragonramp.roles.follower import Follower
 
 
 def table_at(version):
     """Return a table in which one more range has moved with each version from 10."""
-    table = first_deal("parts", [Candidate(f"s{i}", 1) for i in range(60)])
+    table = initial_table("parts", [Candidate(f"s{i}", 1) for i in range(60)])
     moved = [table.ranges[at].moved_to("s0", 1) for at in range(version - 10)]
     return table.with_ranges(moved)
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -8,7 +8,7 @@
 from tarragonramp import ManualClock
 from tarragonramp.adapters.http import Response
 from tarragonramp.errors import NotSentError
-from tarragonramp.gates import ForwardedRequest, Gate, WarmupState
+from tarragonramp.gates import ColdStartState, ForwardedRequest, Gate
 from tarragonramp.roles.forwarding import ForwardHandler
 
 REQUEST = ForwardedRequest("t", "desk", "s1", -1, 0, "POST", "/x", (), b"", 5000.0)
@@ -19,9 +19,9 @@
 
     def setUp(self):
         self.clock, self.pause_ms, self.n_sent = ManualClock(10_000.0), 0.0, 0
-        warmup = WarmupState(3, 3)
+        cold_start = ColdStartState(3, 3)
         self.managed_server = types.SimpleNamespace(
-            gate=Gate(warmup, 800.0, 0.0, 800.0),
+            gate=Gate(cold_start, 800.0, 0.0, 800.0),
             vm=types.SimpleNamespace(address="s1:80"),
             ledger=types.SimpleNamespace(term=1),
             role="steward.t.desk.s1",
--- a/tests/test_granter.py
+++ b/tests/test_granter.py
@@ -12,7 +12,7 @@
 from returns.result import Failure, Success
 
 from tarragonramp import ManualClock
-from tarragonramp.balancing import Loads
+from tarragonramp.balancing import ServerSelector
 from tarragonramp.directory import BackendServer
 from tarragonramp.errors import (
     ConflictError,
@@ -23,7 +23,7 @@
     WrongServerError,
 )
 from tarragonramp.fleet_view import FleetView
-from tarragonramp.heat import Heat
+from tarragonramp.key_load import KeyLoad
 from tarragonramp.leadership import LATE_GRANT_MS, InheritedGrants, LeaseTiming
 from tarragonramp.manifest import N_KEYS, FleetService, Manifest, RouteTable
 from tarragonramp.model import Stored
@@ -89,8 +89,8 @@
             may_move=True,
             term=1,
             inherited=InheritedGrants(-1e9, -1e9),
-            heat_of=lambda service: Heat({}, 0.0, 1.0),
-            loads=Loads("a"),
+            recent_load=lambda service: KeyLoad({}, 0.0, 1.0),
+            selector=ServerSelector("a"),
         )
         self.granter = Granter(
             self.view,
@@ -261,8 +261,8 @@
     def report_hot_keys(self, *keys, hottest_keys=()):
         """Let all daemons report load for keys, for some more than can move."""
         work = dict.fromkeys(keys, 9000.0) | dict.fromkeys(hottest_keys, 100_000.0)
-        heat = Heat(work, 300.0, 4300.0)
-        self.leader.heat_of = lambda service: heat
+        heat = KeyLoad(work, 300.0, 4300.0)
+        self.leader.recent_load = lambda service: heat
         self.clock.advance(1000.0)
 
     def test_hot_keys_are_split_off_and_moved(self):
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Success
 
 from tarragonramp import ManualClock
-from tarragonramp.balancing import Chosen, Loads
+from tarragonramp.balancing import Selection, ServerSelector
 from tarragonramp.clock import Clock
 from tarragonramp.directory import BackendServer
 from tarragonramp.errors import ConflictError, NotFoundError, PlatformBusyError
@@ -120,7 +120,7 @@
             self.store,
             peers,
             Follower(),
-            Loads("a"),
+            ServerSelector("a"),
             self.clock,
         )
         self.daemons[address] = created
@@ -356,7 +356,7 @@
         self.one.view.directory.upsert(server)
         usual_ms = self.one._update_wait_ms()
         for _ in range(4):
-            self.one.loads.sent(Chosen(server, "r", 0.0))
+            self.one.selector.record_sent(Selection(server, "r", 0.0))
         self.assertLess(self.one._update_wait_ms(), usual_ms / 2)
         # The leader of a large fleet cannot respond that often.
         self.one.view.daemons |= {f"x{i}": "x:1" for i in range(80)}
@@ -385,7 +385,7 @@
     def test_requests_in_flight_of_other_daemons_are_passed_on(self):
         self.one._discover_leader()
         server = BackendServer("s1", 1, "desk", "s1:80", "a", 3)
-        self.other.loads.sent(Chosen(server, "r", 0.0))
+        self.other.selector.record_sent(Selection(server, "r", 0.0))
         self.other._discover_leader()
         self.assertEqual(self.one._loads_except("d1", self.clock.now_ms()), {"s1": 1})
         self.assertEqual(self.one._loads_except("d2", self.clock.now_ms()), {})
--- a/tests/test_ranges.py
+++ b/tests/test_ranges.py
@@ -6,8 +6,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tarragonramp.dealing import Candidate, first_deal
 from tarragonramp.manifest import N_KEYS
+from tarragonramp.range_placement import Candidate, initial_table
 from tarragonramp.ranges import (
     MAX_FENCES_PER_TERM,
     MAX_TABLE_VERSIONS,
@@ -22,14 +22,14 @@
 
     @given(st.integers(0, N_KEYS - 1), st.integers(1, 9))
     def test_find_returns_the_range_that_contains_the_key(self, key, n):
-        table = first_deal("parts", [Candidate(f"s{i}", i) for i in range(n)])
+        table = initial_table("parts", [Candidate(f"s{i}", i) for i in range(n)])
         item = table.find(key)
         self.assertTrue(item.first <= key <= item.last)
 
     @given(st.sets(st.integers(0, 41)))
     def test_table_survives_a_round_trip_through_its_spec(self, moved):
         candidates = [Candidate(f"s{i}", 7, f"10.0.0.{i}:80") for i in range(3)]
-        table = first_deal("parts", candidates)
+        table = initial_table("parts", candidates)
         changed = [table.ranges[i].moved_to("s9", 3) for i in moved]
         table = table.with_ranges(changed, {"s9": "10.0.0.9:80"})
         restored = RangeTable.from_spec(table.to_spec())
@@ -39,7 +39,7 @@
     @given(st.sets(st.integers(0, 41)), st.sets(st.integers(0, 41)))
     def test_difference_updates_an_earlier_table(self, before, after):
         candidates = [Candidate(f"s{i}", 7, f"10.0.0.{i}:80") for i in range(3)]
-        table = first_deal("parts", candidates)
+        table = initial_table("parts", candidates)
         places = {"s8": "10.0.0.8:80", "s9": "10.0.0.9:80"}
         moved = [table.ranges[i].moved_to("s8", 3) for i in before]
         earlier = table.with_ranges(moved, places)
@@ -54,7 +54,9 @@
     @given(st.lists(st.integers(0, N_KEYS - 2), min_size=1, max_size=30))
     def test_split_ranges_survive_round_trip_and_difference(self, keys):
         """Each key is split off the range that contains it, and moved."""
-        earlier = table = first_deal("parts", [Candidate("s0", 1), Candidate("s1", 1)])
+        earlier = table = initial_table(
+            "parts", [Candidate("s0", 1), Candidate("s1", 1)]
+        )
         for key in keys:
             item = table.find(key).settled()
             pieces = [
@@ -74,7 +76,7 @@
 
         Keys would be left without an owner, or have two.
         """
-        table = first_deal("parts", [Candidate("s0", 1)])
+        table = initial_table("parts", [Candidate("s0", 1)])
         item = table.ranges[3]
         for first, last in (
             (item.first + 1, item.last),
@@ -97,7 +99,7 @@
     """Fencing tokens that are raised while the owner stays the same."""
 
     def setUp(self):
-        self.table = first_deal("parts", [Candidate("s0", 1), Candidate("s1", 1)])
+        self.table = initial_table("parts", [Candidate("s0", 1), Candidate("s1", 1)])
         self.item = self.table.ranges[3]
 
     def test_raised_token_exceeds_all_earlier_tokens_of_the_owner(self):
@@ -121,7 +123,7 @@
     """Updates for a daemon that has an earlier version."""
 
     def setUp(self):
-        table = first_deal("parts", [Candidate("s0", 1), Candidate("s1", 1)])
+        table = initial_table("parts", [Candidate("s0", 1), Candidate("s1", 1)])
         self.history = TableHistory()
         for version in range(10, 10 + 2 * MAX_TABLE_VERSIONS, 2):
             self.history.record(table, version)
@@ -143,7 +145,7 @@
         self.assertIsNone(self.history.changes("unknown", self.last))
 
     def test_number_of_kept_versions_is_bounded(self):
-        table = first_deal("parts", [Candidate("s0", 1), Candidate("s1", 1)])
+        table = initial_table("parts", [Candidate("s0", 1), Candidate("s1", 1)])
         self.history.record(table, self.last + 2)
         self.assertIsNone(self.history.changes("parts", 10))
         self.assertIsNotNone(self.history.changes("parts", 12))
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -8,8 +8,8 @@
 from tarragonramp import Clock
 from tarragonramp.adapters.http import Response
 from tarragonramp.adapters.web import HEADERS_KEY, TARGET_KEY
-from tarragonramp.balancing import Loads
-from tarragonramp.cold import ColdShares
+from tarragonramp.balancing import ServerSelector
+from tarragonramp.cold_start import ColdStartLimiter
 from tarragonramp.dialect import RequestFacts, ResponseFacts
 from tarragonramp.directory import BackendServer
 from tarragonramp.errors import NotSentError, UnansweredError
@@ -117,8 +117,8 @@
         pools = types.SimpleNamespace(at=self.pool_at)
         self.router = Router(
             self.view,
-            Loads("a"),
-            ColdShares("d1"),
+            ServerSelector("a"),
+            ColdStartLimiter("d1"),
             pools,
             Dialect(),
             FleetBounds(),
@@ -243,9 +243,11 @@
         Without their load the owner would look no busier than a server can be, and for
         seconds only one range at a time would move away.
         """
-        self.router.loads.take_told({"p1": 60}, self.router.clock.now_ms())
+        self.router.selector.update_peer_in_flight(
+            {"p1": 60}, self.router.clock.now_ms()
+        )
         self.assertEqual(self.send_request("/keyed/", 7)[0], 503)
-        told = self.view.work.take(self.view.tables)
+        told = self.view.work.drain(self.view.tables)
         self.assertEqual(told["parts"][7][0], 1)
         self.assertGreater(told["parts"][7][1], 10)
 
