--- a/src/tarragonramp/admission.py
+++ b/src/tarragonramp/admission.py
@@ -35,9 +35,9 @@
 mean."""
 
 EVICTION_SLACK = 2.0
-"""Factor by which the expected wait of a queued request may exceed the limit before the
-request is evicted. With a few claims among many lookups, each claim would otherwise
-evict lookups that would have been answered a moment later."""
+"""Factor by which the wait of a request that is already queued may exceed the maximum
+for new requests before it is evicted. With a few claims among many lookups, each claim
+would otherwise evict lookups that would have been answered a moment later."""
 
 CLASS_SHARE_EWMA_WEIGHT = 0.02
 """Weight of the newest start in the moving average of each class's share of a server.
@@ -46,9 +46,9 @@
 
 SHED_BACKOFF_FACTOR = 0.7
 LATENCY_BACKOFF_FACTOR = 0.95
-"""Factors by which the limit is reduced after the server shed a request and after a
-mean latency above the ratio. Shedding is reported by the server itself, while latency
-is only an indication."""
+"""Factors by which the limit is multiplied after the server shed or did not answer a
+request, and after a mean latency above the ratio. Shedding is reported by the server
+itself, while latency is only an indication."""
 
 LATENCY_EWMA_WEIGHT = 0.1
 """Weight of the newest latency in the mean. About ten responses move it, so that one
@@ -116,6 +116,7 @@
     n_entries : int
         Entries that may send to the server.
     max_wait_ms : float
+        Longest expected wait with which a request is queued.
     rng : random.Random
         For the jitter of retry times.
     total_pause_ms : callable
@@ -151,8 +152,8 @@
         """Requests that this entry may have in flight regardless of the other entries.
 
         At least one, since an entry that sends nothing learns nothing about the server.
-        With more entries than slots, the entries together may therefore exceed the
-        slots; the server's connections limit that.
+        If there are more entries than slots, they may therefore exceed the slots
+        together; the number of the server's connections limits that.
         """
         return max(1.0, self.slots / self.n_entries)
 
@@ -255,7 +256,7 @@
         self._refuse(ticket)
 
     def latest_start_ms(self, ticket):
-        """Return the time until which a request may wait."""
+        """Return the time at which a request that still waits is rejected."""
         longest_ms = self.max_wait_ms * EVICTION_SLACK
         return min(
             ticket.deadline_at_ms - self.mean_latency_ms, ticket.arrived_ms + longest_ms
@@ -274,9 +275,9 @@
     def _refuse(self, ticket):
         """Reject a request and set when its caller should retry.
 
-        The retry time is the time in which the current queue drains, spread evenly over
-        a range as long again, so that hundreds of callers rejected at once do not all
-        retry at once.
+        The retry time is the time in which the current queue drains, plus a random time
+        of up to the same length, so that hundreds of callers rejected at once do not
+        all retry at once.
         """
         ticket.state = REFUSED
         drained_ms = (self.n_waiting + 1) * self.mean_latency_ms / self.limit
@@ -284,7 +285,11 @@
         ticket.retry_after_ms = min(retry_ms, MAX_RETRY_AFTER_MS)
 
     def _expected_wait_ms(self, priority, ahead_in_class=None):
-        """Return the wait of a new request of a class, or of one ahead of it."""
+        """Return the expected wait of a new request of a class.
+
+        With ``ahead_in_class``, that of a request with this many ahead of it in the
+        queue of its class.
+        """
         if ahead_in_class is None:
             ahead_in_class = len(self._waiting.get(priority, ()))
         ahead = sum(len(q) for p, q in self._waiting.items() if p < priority)
@@ -367,10 +372,11 @@
             self.limit = min(self.max_limit, self.limit + 1.0 / self.limit)
 
     def _decrease_limit(self, factor, floor, now_ms):
-        """Reduce the limit, at most once for each round of responses.
+        """Multiply the limit by a factor, at most once for each round of responses.
 
-        Latency alone reduces it no further than to the entry's share. Otherwise, all
-        entries together would starve a server that is slow for other reasons.
+        It is not reduced below ``floor``: one request after the server shed a request,
+        the entry's share after high latency or a lost request. Otherwise, all entries
+        together would starve a server that is slow for other reasons.
         """
         if now_ms < self._cooldown_until_ms:
             return
--- a/src/tarragonramp/balancing.py
+++ b/src/tarragonramp/balancing.py
@@ -38,9 +38,9 @@
 this keeps servers from working on requests whose callers time out first."""
 
 MAX_RESERVED_SHARE = 0.4
-"""Upper limit on the fraction of a service's waiting room that is reserved for its most
-urgent requests. Up to this limit, the reserved fraction equals their share of the
-service's work. Under overload, claims would otherwise be rejected because lookups
+"""Upper limit on the fraction of a server's queue that is reserved for the most urgent
+requests of its service. Up to this limit, the reserved fraction equals their share of
+the service's work. Under overload, claims would otherwise be rejected because lookups
 arrived first; a fixed reservation would reject lookups in favour of claims that hardly
 ever arrive."""
 
@@ -111,7 +111,7 @@
     reason : str
     retry_after_s : float
     inputs : dict
-        Values that led to the decision, for the log.
+        Values on which the decision is based, for the log.
     """
 
     reason: str
@@ -121,7 +121,10 @@
 
 @attrs.define(eq=False)
 class _DemandMeans:
-    """Moving averages of the work that one request brings to a service, in ms."""
+    """Moving averages of the processing time that one request to a service needs.
+
+    ``urgent_ms`` counts the time of other than the most urgent requests as zero.
+    """
 
     all_ms: float
     urgent_ms: float = 0.0
@@ -190,9 +193,9 @@
             if cost < lowest_cost:
                 best, lowest_cost, best_expected_ms = server, cost, expected_ms
         wait_ms = self.wait_ms(best, requirements.route, now_ms)
-        kept_share = self._note_demand(best.service, requirements, work_ms)
+        reserved_share = self._note_demand(best.service, requirements, work_ms)
         rule = self._rejection_rule(
-            requirements, best, best_expected_ms, kept_share, now_ms
+            requirements, best, best_expected_ms, reserved_share, now_ms
         )
         if rule:
             retry_after_s = self._retry_after_s(wait_ms, work_ms)
@@ -202,7 +205,7 @@
                 "wait_ms": round(wait_ms),
                 "expected_ms": round(best_expected_ms),
                 "target_left_ms": round(requirements.target_left_ms),
-                "kept_share": round(kept_share, 2),
+                "kept_share": round(reserved_share, 2),
                 "servers": len(usable),
             }
             return Rejection("servers are busy", retry_after_s, inputs)
@@ -227,7 +230,7 @@
         return self._queue_excess(server, work_ms, now_ms) * work_ms / server.slots
 
     def _queue_excess(self, server, work_ms, now_ms):
-        """Return how many requests have to finish before one more can start."""
+        """Return how many requests have to finish before a new one can start."""
         stats = self._stats_of(server.name)
         n_in_flight = stats.in_flight + stats.estimate_peer_in_flight(work_ms, now_ms)
         return max(0.0, n_in_flight - server.slots + 1.0)
@@ -237,11 +240,14 @@
         return self._stats_of(name).in_flight
 
     def peer_in_flight(self, name, now_ms):
-        """Return the other daemons' requests at a server; None if not known lately."""
+        """Return the other daemons' requests in flight at a server.
+
+        None if their count has expired or was never received.
+        """
         return self._stats_of(name).recent_peer_count(now_ms)
 
     def slowdown(self, name, now_ms):
-        """Return the factor by which a server was slower lately; 1 is usual."""
+        """Return the factor by which a server was slower than usual lately."""
         return self._stats_of(name).typical_slowdown(now_ms)
 
     def is_backing_off(self, name, now_ms):
@@ -272,14 +278,16 @@
         route = selection.route
         stats = self._record_end(selection, report, now_ms)
         slowdown = stats.typical_slowdown(now_ms)
-        # Queueing and processing time can't be measured separately, so the error of
-        # the estimate is attributed to both in proportion.
+        # Queueing and processing time can't be measured separately, so both are
+        # assumed to have been misestimated by the same factor.
         expected_ms = max(1.0, selection.wait_ms + self.work_ms(route) * slowdown)
         stats.note_answer(took_ms / expected_ms, now_ms)
         if not selection.wait_ms:
             usual_ms = self._work_ms.get(route, took_ms)
-            own_ms = took_ms / slowdown
-            self._work_ms[route] = usual_ms + ROUTE_EWMA_WEIGHT * (own_ms - usual_ms)
+            normalized_ms = took_ms / slowdown
+            self._work_ms[route] = usual_ms + ROUTE_EWMA_WEIGHT * (
+                normalized_ms - usual_ms
+            )
 
     def record_shed(self, selection, report, now_ms):
         """Record that a server rejected a request without executing it."""
@@ -317,13 +325,16 @@
             stats.note_peer_count(totals.get(name, 0), now_ms)
 
     def retain(self, names):
-        """Drop all servers except the given ones and those with requests in flight."""
+        """Drop the statistics of all but the given servers.
+
+        Servers with requests in flight are kept as well.
+        """
         for name in set(self._stats) - set(names):
             if not self._stats[name].in_flight:
                 del self._stats[name]
 
     def _note_demand(self, service, requirements, work_ms):
-        """Record a request; return the share of the waiting room it must leave free."""
+        """Record a request; return the fraction of a queue that it must leave free."""
         demand = self._demand.get(service)
         if demand is None:
             demand = self._demand[service] = _DemandMeans(all_ms=work_ms)
@@ -332,12 +343,15 @@
             0.0 if requirements.urgent else min(MAX_RESERVED_SHARE, demand.urgent_share)
         )
 
-    def _rejection_rule(self, requirements, server, expected_ms, kept_share, now_ms):
+    def _rejection_rule(
+        self, requirements, server, expected_ms, reserved_share, now_ms
+    ):
         """Return the rule that forbids queueing at a server; empty if none does.
 
-        A request that does not have to wait is always accepted. Otherwise, a long queue
-        under overload would delay all responses. A response after its target is worth
-        only a fraction of one in time, and the time spent on it is lost to others.
+        A request that does not have to wait is always accepted. The queue is limited,
+        because under overload a long queue delays all responses: a response after its
+        target is worth only a fraction of one in time, and the time spent on it is lost
+        to others.
 
         The maximum queue length is computed from the server's typical speed, not its
         current one. A noisy neighbour slows a server down for short periods. A caller
@@ -359,13 +373,15 @@
         wait_ms = excess * usual_ms / server.slots
         if wait_ms > max_wait_ms:
             return "queue too long"
-        return "kept for urgent" if wait_ms > max_wait_ms * (1.0 - kept_share) else ""
+        return (
+            "kept for urgent" if wait_ms > max_wait_ms * (1.0 - reserved_share) else ""
+        )
 
     def _retry_after_s(self, wait_ms, work_ms):
         """Return when a rejected caller should retry: once the queue has drained.
 
-        The value is spread over a range as long again, so that callers rejected at the
-        same moment do not all retry together.
+        The value is spread randomly over a range of the same length, so that callers
+        rejected at the same moment do not all retry together.
         """
         retry_s = max(wait_ms, work_ms / 2) * (0.5 + self.rng.random()) / 1000.0
         return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, retry_s))
--- a/src/tarragonramp/cold_start.py
+++ b/src/tarragonramp/cold_start.py
@@ -25,13 +25,13 @@
 
 @attrs.define(eq=False, repr=False)
 class ColdStartLimiter:
-    """This daemon's share of the requests that servers in a cold start can handle.
+    """Limits the requests of one daemon to servers in a cold start.
 
     When a failure domain returns, all its servers are cold while callers keep sending;
-    overloaded servers would fail and start cold again. The share that does not divide
-    evenly among the daemons (all of it if the limit is less than one request per
-    daemon) goes to some of them. They are chosen by a hash of the names of server and
-    daemon, so all daemons agree without communicating.
+    overloaded servers would fail and start cold again. The requests that a server can
+    handle are divided among the daemons. The remainder of the division (all requests if
+    there are fewer than daemons) goes to some of them, one each. These are chosen by a
+    hash of the names of server and daemon, so all daemons agree without communicating.
 
     Parameters
     ----------
@@ -58,6 +58,7 @@
         Returns
         -------
         taken : bool
+            Whether the request may be sent.
         """
         quota = self._quota(server, int(bound_per_s * USED_RATE_SHARE), daemons)
         sent = self._sent_ms.setdefault(server, collections.deque())
@@ -69,13 +70,15 @@
         return True
 
     def _quota(self, server, budget, daemons):
-        """Return how many requests in a window are this daemon's share."""
+        """Return this daemon's share of the requests to a server in one window."""
         if not daemons:
             return budget // ASSUMED_DAEMONS
         quota, remainder = divmod(budget, len(daemons))
         return quota + self._gets_remainder(server, daemons, remainder)
 
     def _gets_remainder(self, server, daemons, n_chosen):
+        """Return whether this daemon is among those chosen for the remainder."""
+
         def rank(daemon):
             return xxhash.xxh64_intdigest(f"{server} {daemon}".encode())
 
--- a/src/tarragonramp/connections.py
+++ b/src/tarragonramp/connections.py
@@ -1,4 +1,4 @@
-"""How many connections a daemon may open to a server, decided without I/O."""
+"""Decides how many connections a daemon may open to a server, without I/O."""
 
 __all__ = ["connection_share", "may_connect"]
 
@@ -7,11 +7,11 @@
 resets connections beyond its limit, and the requests sent on them are lost."""
 
 BORROWABLE_SHARE = 0.5
-"""Fraction of the remaining connections that all requests in flight together may use.
-If one key receives much of the traffic of a large fleet, a daemon's guaranteed share
-may be a single connection, and callers would be rejected although the server has
-capacity. The other half is left for daemons that borrow at the same moment, before they
-know of each other."""
+"""Fraction of the remaining connections up to which daemons may exceed their guaranteed
+share. In a large fleet this share may be a single connection; if one key receives much
+of the traffic, callers would be rejected although its server has capacity. The other
+half is left for daemons that borrow at the same moment, before they know of each other.
+"""
 
 
 def connection_share(limit, n_daemons):
@@ -36,7 +36,7 @@
     own : int
         This daemon's requests in flight there.
     others : int or None
-        Those of all other daemons; None if not known lately.
+        Those of all other daemons; None if no recent count is known.
     """
     share = connection_share(limit, n_daemons)
     if own < share:
--- a/src/tarragonramp/key_load.py
+++ b/src/tarragonramp/key_load.py
@@ -7,7 +7,7 @@
 __all__ = ["KeyLoad", "KeyLoadAggregate", "KeyLoadRecorder"]
 
 HALF_LIFE_MS = 1500.0
-"""Half-life of the recorded load of a key. Keys become hot within seconds."""
+"""Half-life of the recorded load of a key; short, as keys become hot within seconds."""
 
 MIN_WORK_MS = 5.0
 """Load below which a key is dropped; a single request falls below it after some
@@ -57,8 +57,9 @@
         Parameters
         ----------
         tables : dict of str to RangeTable
-            By service. The load of keys beyond the hottest ones is reported under the
-            first key of their range, so that the sum of each owner stays correct.
+            Range tables by service. The load of keys beyond the hottest ones is
+            reported under the first key of their range, so that the sum of each owner
+            stays correct.
 
         Returns
         -------
@@ -78,8 +79,8 @@
     ordered = sorted(by_key.items(), key=lambda entry: entry[1][1], reverse=True)
     reported = dict(ordered[:MAX_REPORTED_KEYS])
     for key, (count, took_ms) in ordered[MAX_REPORTED_KEYS:]:
-        item = table.find(key)
-        first = item.first if item is not None else key
+        key_range = table.find(key)
+        first = key_range.first if key_range is not None else key
         n_before, before_ms = reported.get(first, (0, 0))
         reported[first] = [n_before + count, before_ms + took_ms]
     return reported
@@ -89,18 +90,19 @@
 class KeyLoadAggregate:
     """Load by key as reported by all daemons, with exponential decay.
 
-    New entries are given a weight that grows with time, instead of reducing all
-    existing entries with each message, because there are many keys and many daemons.
+    With each message, the new load is multiplied by a weight that grows with time. To
+    reduce all existing entries instead would take too long, because there are many keys
+    and many daemons.
     """
 
     _by_service: dict = attrs.Factory(dict)
-    _since_ms: float = 0.0
+    _weight_base_ms: float = 0.0
 
     def add(self, work, now_ms):
         """Add a daemon's report, in the form that ``KeyLoadRecorder.drain`` returns."""
-        if now_ms >= self._since_ms + HALF_LIFE_MS:
+        if now_ms >= self._weight_base_ms + HALF_LIFE_MS:
             self._rebase(now_ms)
-        weight = 2.0 ** ((now_ms - self._since_ms) / HALF_LIFE_MS)
+        weight = 2.0 ** ((now_ms - self._weight_base_ms) / HALF_LIFE_MS)
         for service, by_key in work.items():
             totals = self._by_service.setdefault(service, {})
             for key, (count, took_ms) in by_key.items():
@@ -110,7 +112,7 @@
 
     def recent_load(self, service, now_ms):
         """Return the KeyLoad of a service."""
-        decay = 0.5 ** ((now_ms - self._since_ms) / HALF_LIFE_MS)
+        decay = 0.5 ** ((now_ms - self._weight_base_ms) / HALF_LIFE_MS)
         entries = self._by_service.get(service, {})
         count = decay * sum(count for count, _ in entries.values())
         by_key = {key: decay * took_ms for key, (_, took_ms) in entries.items()}
@@ -119,8 +121,8 @@
 
     def _rebase(self, now_ms):
         """Scale all entries to the current time and drop negligible ones."""
-        decay = 0.5 ** ((now_ms - self._since_ms) / HALF_LIFE_MS)
-        self._since_ms = now_ms
+        decay = 0.5 ** ((now_ms - self._weight_base_ms) / HALF_LIFE_MS)
+        self._weight_base_ms = now_ms
         for service, entries in self._by_service.items():
             self._by_service[service] = {
                 key: [decay * count, decay * took_ms]
--- a/src/tarragonramp/server_stats.py
+++ b/src/tarragonramp/server_stats.py
@@ -27,8 +27,8 @@
 miss a queue there, or assume one that is already gone."""
 
 PEER_COUNT_TTL_MS = 1500.0
-"""How long the other daemons' request counts are used: three times as long as they take
-to arrive."""
+"""How long the other daemons' request counts are used: three times the longest time
+between two of the leader's messages (500 ms)."""
 
 SLOWNESS_HALF_LIFE_MS = 200.0
 """Half-life of the slowness in a load report, which changes many times a second."""
@@ -100,11 +100,11 @@
         )
 
     def typical_slowdown(self, now_ms):
-        """Return the factor by which processing was slower lately; 1 is usual."""
+        """Return the factor by which processing was slower than usual lately."""
         return self._decayed(self.slowdown, 1.0, now_ms)
 
     def current_slowdown(self, now_ms):
-        """Return the factor by which processing is slower at this moment."""
+        """Return the factor by which processing is slower than usual at this moment."""
         slowdown = self.typical_slowdown(now_ms)
         if self.report is not None:
             age = (now_ms - self.report_ms) / SLOWNESS_HALF_LIFE_MS
@@ -116,7 +116,7 @@
         return self._decayed(self.failures, 0.0, now_ms)
 
     def note_report(self, report, now_ms):
-        """Record a load report whose request is no longer in flight."""
+        """Record a load report; its own request is no longer counted as in flight."""
         self.report, self.report_ms = report, now_ms
         self.own_in_flight_at_report = self.in_flight
 
@@ -125,7 +125,7 @@
         self.peer_count, self.peer_count_ms = count, now_ms
 
     def note_answer(self, ratio, now_ms):
-        """Record a response by the ratio of its actual to its expected time."""
+        """Record a response, given the ratio of its actual to its expected time."""
         ratio = min(4.0, max(0.25, ratio))
         slowdown = self.typical_slowdown(now_ms) * ratio**ANSWER_EWMA_WEIGHT
         self.failures = self.failure_rate(now_ms) * (1.0 - ANSWER_EWMA_WEIGHT)
--- a/tests/test_balancing.py
+++ b/tests/test_balancing.py
@@ -158,7 +158,7 @@
         usual speed, so they would never be selected. Only new servers of the own
         failure domain are tried.
         """
-        loads, requirements = (
+        selector, requirements = (
             ServerSelector("a", random.Random(1)),
             Requirements("r", LIMIT_MS, TARGET_MS),
         )
@@ -167,39 +167,41 @@
             now_ms += 10.0
             for item, took_ms in ((fast, 50.0), (slow, 150.0)):
                 chosen = Selection(item, "r", took_ms)
-                loads.record_sent(chosen)
-                loads.record_response(chosen, took_ms, None, now_ms)
+                selector.record_sent(chosen)
+                selector.record_response(chosen, took_ms, None, now_ms)
         remote, local = server(2, "b"), server(3)
         for joined, expected in (([remote], fast), ([remote, local], local)):
-            choice = loads.select([fast, slow, *joined], requirements, now_ms)
+            choice = selector.select([fast, slow, *joined], requirements, now_ms)
             self.assertIs(choice.server, expected)
-        loads.record_sent(Selection(local, "r", 0.0))
-        choice = loads.select([fast, slow, remote, local], requirements, now_ms)
+        selector.record_sent(Selection(local, "r", 0.0))
+        choice = selector.select([fast, slow, remote, local], requirements, now_ms)
         self.assertIs(choice.server, fast)
 
     def test_requests_stay_in_the_failure_domain_while_it_has_capacity(self):
         """Traffic between failure domains is paid for."""
-        loads = ServerSelector("a", random.Random(1))
+        selector = ServerSelector("a", random.Random(1))
         servers = [server(0, "a"), server(1, "b")]
         for _ in range(2):
-            choice = loads.select(servers, Requirements("r", LIMIT_MS, TARGET_MS), 0.0)
+            choice = selector.select(
+                servers, Requirements("r", LIMIT_MS, TARGET_MS), 0.0
+            )
             self.assertEqual(choice.server.name, "s0")
-            loads.record_sent(Selection(servers[0], "r", 0.0))
+            selector.record_sent(Selection(servers[0], "r", 0.0))
         for _ in range(4):
-            loads.record_sent(Selection(servers[0], "r", 0.0))
-        choice = loads.select(servers, Requirements("r", LIMIT_MS, TARGET_MS), 0.0)
+            selector.record_sent(Selection(servers[0], "r", 0.0))
+        choice = selector.select(servers, Requirements("r", LIMIT_MS, TARGET_MS), 0.0)
         self.assertEqual(choice.server.name, "s1")
 
     def test_fast_shedding_does_not_make_a_server_look_fast(self):
-        loads = ServerSelector("a", random.Random(1))
+        selector = ServerSelector("a", random.Random(1))
         servers = [server(0), server(1)]
         for i in range(12):
             first = Selection(server(0), "r", 0.0)
-            loads.record_sent(first)
-            loads.record_shed(first, LoadReport(0, 0, 3), i * 50.0)
+            selector.record_sent(first)
+            selector.record_shed(first, LoadReport(0, 0, 3), i * 50.0)
         requirements = Requirements("r", LIMIT_MS, TARGET_MS)
         chosen = {
-            loads.select(servers, requirements, 700.0).server.name for _ in range(20)
+            selector.select(servers, requirements, 700.0).server.name for _ in range(20)
         }
         self.assertEqual(chosen, {"s1"})
 
@@ -210,52 +212,56 @@
         would retry too late for their target. A queue that is too long at the server's
         usual speed is still rejected.
         """
-        loads, item = ServerSelector("a", random.Random(1)), server(0, slots=4)
+        selector, item = ServerSelector("a", random.Random(1)), server(0, slots=4)
         for at_ms in range(0, 30_000, 300):
             chosen = Selection(item, "r", 90.0)
-            loads.record_sent(chosen)
+            selector.record_sent(chosen)
             slow = LoadReport(1, 0, 4, 3.0 if at_ms > 29_500 else 1.0)
-            loads.record_response(chosen, 90.0, slow, float(at_ms))
+            selector.record_response(chosen, 90.0, slow, float(at_ms))
         for _ in range(5):
-            loads.record_sent(Selection(item, "r", 0.0))
+            selector.record_sent(Selection(item, "r", 0.0))
         requirements = Requirements("r", 800.0, 300.0)
-        self.assertIsInstance(loads.select([item], requirements, 29_710.0), Selection)
+        self.assertIsInstance(
+            selector.select([item], requirements, 29_710.0), Selection
+        )
         for _ in range(12):
-            loads.record_sent(Selection(item, "r", 0.0))
-        choice = loads.select([item], requirements, 29_720.0)
+            selector.record_sent(Selection(item, "r", 0.0))
+        choice = selector.select([item], requirements, 29_720.0)
         self.assertIsInstance(choice, Rejection)
 
     def test_capacity_is_reserved_only_for_urgent_requests_that_arrive(self):
-        """No room is reserved for a more urgent route that receives no requests."""
+        """No part of a queue is reserved for an urgent route without requests."""
         lookup = Requirements("lookup", 800.0, 300.0, urgent=False)
         claim = Requirements("claim", 800.0, 300.0, urgent=True)
         n_accepted = []
         for kinds in ([lookup], [lookup, claim]):
-            loads, item = ServerSelector("a", random.Random(1)), server(0, slots=4)
+            selector, item = ServerSelector("a", random.Random(1)), server(0, slots=4)
             for i in range(200):
                 chosen = Selection(item, kinds[i % len(kinds)].route, 90.0)
-                loads.select([item], kinds[i % len(kinds)], 300.0 * i)
-                loads.record_sent(chosen)
-                loads.record_response(chosen, 90.0, None, 300.0 * i)
+                selector.select([item], kinds[i % len(kinds)], 300.0 * i)
+                selector.record_sent(chosen)
+                selector.record_response(chosen, 90.0, None, 300.0 * i)
             n = 0
-            while isinstance(loads.select([item], lookup, 60_000.0), Selection):
-                loads.record_sent(Selection(item, "lookup", 0.0))
+            while isinstance(selector.select([item], lookup, 60_000.0), Selection):
+                selector.record_sent(Selection(item, "lookup", 0.0))
                 n += 1
             n_accepted.append(n)
             if kinds == [lookup, claim]:
-                choice = loads.select([item], claim, 60_000.0)
+                choice = selector.select([item], claim, 60_000.0)
                 self.assertIsInstance(choice, Selection)
         self.assertGreater(n_accepted[0], n_accepted[1])
 
     def test_requests_of_other_daemons_fill_an_owner(self):
         """Nine daemons send to a busy owner; each sees only its own requests there."""
-        loads = ServerSelector("a", random.Random(1))
+        selector = ServerSelector("a", random.Random(1))
         requirements = Requirements("r", LIMIT_MS, 300.0)
         self.assertNotIsInstance(
-            loads.select([server(0)], requirements, 0.0), Rejection
+            selector.select([server(0)], requirements, 0.0), Rejection
+        )
+        selector.update_peer_in_flight({"s0": 9}, 0.0)
+        self.assertIsInstance(
+            selector.select([server(0)], requirements, 10.0), Rejection
         )
-        loads.update_peer_in_flight({"s0": 9}, 0.0)
-        self.assertIsInstance(loads.select([server(0)], requirements, 10.0), Rejection)
         # The reported count has expired by then.
-        choice = loads.select([server(0)], requirements, 5000.0)
+        choice = selector.select([server(0)], requirements, 5000.0)
         self.assertNotIsInstance(choice, Rejection)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,17 +11,17 @@
     return max(sum(t <= at < t + 1000.0 for at in times_ms) for t in times_ms)
 
 
-class ColdSharesTest(unittest.TestCase):
+class ColdStartLimiterTest(unittest.TestCase):
     """Callers send to one cold server through all daemons."""
 
     def send_all(self, n_daemons, bound, known=None):
         """Return the times at which requests were let through, for all daemons."""
         names = [f"d{i}" for i in range(n_daemons)]
-        shares = [ColdStartLimiter(name) for name in names]
+        limiters = [ColdStartLimiter(name) for name in names]
         rng, times = random.Random(3), []
         for at_ms in range(0, 5000, 5):
-            for share in rng.sample(shares, len(shares)):
-                if share.try_acquire(
+            for limiter in rng.sample(limiters, len(limiters)):
+                if limiter.try_acquire(
                     "s1", bound, names if known is None else known, at_ms
                 ):
                     times.append(float(at_ms))
@@ -58,11 +58,11 @@
         """Two daemons have just joined, and only some of the others know of them."""
         bound = 11 * 1.5 + 5
         names = [f"d{i}" for i in range(11)]
-        shares = [ColdStartLimiter(name) for name in names]
+        limiters = [ColdStartLimiter(name) for name in names]
         known = [names[: 9 + i % 3] for i in range(11)]
         sent = sum(
-            share.try_acquire("s1", bound, known[i], 0.0)
-            for i, share in enumerate(shares)
+            limiter.try_acquire("s1", bound, known[i], 0.0)
+            for i, limiter in enumerate(limiters)
             for _ in range(20)
         )
         self.assertLessEqual(sent, bound)
--- a/tests/test_hotspots.py
+++ b/tests/test_hotspots.py
@@ -214,7 +214,7 @@
         moves : bool
             Whether hot keys move.
         """
-        rng, counts = random.Random(self.seed), KeyLoadAggregate()
+        rng, aggregate = random.Random(self.seed), KeyLoadAggregate()
         owners = [
             attrs.evolve(candidate, slowdown=slowdown)
             for candidate, slowdown in zip(
@@ -240,9 +240,9 @@
                 recorder.note("parts", key, self.work_ms)
             if now_ms >= last_move_ms + 700.0:
                 last_move_ms = now_ms
-                counts.add(recorder.drain({"parts": table}), now_ms)
+                aggregate.add(recorder.drain({"parts": table}), now_ms)
                 if moves:
-                    key_load = counts.recent_load("parts", now_ms)
+                    key_load = aggregate.recent_load("parts", now_ms)
                     changed = rebalance_hot_keys(table, owners, key_load)
                     table = table.with_ranges([item.settled() for item in changed])
         return n_in_time / n
@@ -360,35 +360,35 @@
     """What daemons report about the load by key."""
 
     def test_load_is_halved_in_a_half_life(self):
-        counts = KeyLoadAggregate()
-        counts.add({"parts": {"7": [10, 1000]}}, 50_000.0)
-        key_load = counts.recent_load("parts", 50_000.0 + HALF_LIFE_MS)
+        aggregate = KeyLoadAggregate()
+        aggregate.add({"parts": {"7": [10, 1000]}}, 50_000.0)
+        key_load = aggregate.recent_load("parts", 50_000.0 + HALF_LIFE_MS)
         self.assertAlmostEqual(key_load.by_key[7], 500.0)
         self.assertAlmostEqual(key_load.request_ms, 100.0)
-        counts.add({"parts": {"7": [1, 100]}}, 50_000.0 + 2 * HALF_LIFE_MS)
-        key_load = counts.recent_load("parts", 50_000.0 + 2 * HALF_LIFE_MS)
+        aggregate.add({"parts": {"7": [1, 100]}}, 50_000.0 + 2 * HALF_LIFE_MS)
+        key_load = aggregate.recent_load("parts", 50_000.0 + 2 * HALF_LIFE_MS)
         self.assertAlmostEqual(key_load.by_key[7], 350.0)
 
     def test_keys_without_recent_load_are_dropped(self):
-        counts = KeyLoadAggregate()
-        counts.add({"parts": {k: [1, 100] for k in range(500)}}, 0.0)
-        counts.add({}, 12 * HALF_LIFE_MS)
-        self.assertEqual(counts.recent_load("parts", 12 * HALF_LIFE_MS).by_key, {})
+        aggregate = KeyLoadAggregate()
+        aggregate.add({"parts": {k: [1, 100] for k in range(500)}}, 0.0)
+        aggregate.add({}, 12 * HALF_LIFE_MS)
+        self.assertEqual(aggregate.recent_load("parts", 12 * HALF_LIFE_MS).by_key, {})
 
     def test_only_the_hottest_keys_are_reported(self):
         """Other keys are reported with their range, so owners' sums stay correct."""
         table = initial_table("parts", servers(13))
-        work, rng = KeyLoadRecorder(), random.Random(2)
+        recorder, rng = KeyLoadRecorder(), random.Random(2)
         total = {}
         for key in rng.choices(range(N_KEYS), k=5000):
-            work.note("parts", key, 10)
+            recorder.note("parts", key, 10)
             total[key] = total.get(key, 0) + 10
         for _ in range(50):
-            work.note("parts", 777, 10)
+            recorder.note("parts", 777, 10)
         total[777] = total.get(777, 0) + 500
-        reported = work.drain({"parts": table})["parts"]
+        reported = recorder.drain({"parts": table})["parts"]
         self.assertLessEqual(len(reported), MAX_REPORTED_KEYS + len(table.ranges))
         self.assertGreaterEqual(reported[777][1], 500)
         by_key = {key: took_ms for key, (_, took_ms) in reported.items()}
         self.assertEqual(load_of(table, by_key), load_of(table, total))
-        self.assertEqual(work.drain({}), {})
+        self.assertEqual(recorder.drain({}), {})
--- a/tests/test_propagation.py
+++ b/tests/test_propagation.py
@@ -113,13 +113,13 @@
 
 class SuspicionTest(unittest.TestCase):
     def test_suspicion_ends_with_time_or_a_response(self):
-        sources = SourceHealth()
-        sources.suspect("b", 100.0)
-        sources.suspect("c", 100.0)
-        self.assertFalse(sources.usable("b", 100.0 + SUSPICION_MS - 1))
-        self.assertTrue(sources.usable("b", 100.0 + SUSPICION_MS))
-        sources.trust("c")
-        self.assertTrue(sources.usable("c", 101.0))
+        health = SourceHealth()
+        health.suspect("b", 100.0)
+        health.suspect("c", 100.0)
+        self.assertFalse(health.usable("b", 100.0 + SUSPICION_MS - 1))
+        self.assertTrue(health.usable("b", 100.0 + SUSPICION_MS))
+        health.trust("c")
+        self.assertTrue(health.usable("c", 101.0))
 
     def test_neighbour_that_stays_ahead_is_fetched_from(self):
         """A neighbour that stays ahead reveals that this daemon's watch hangs.
@@ -127,12 +127,12 @@
         Nothing fails and no connection closes; only the neighbours' newest version
         shows it. Updates that are merely in transit must not cause a second fetch.
         """
-        sources = SourceHealth()
-        self.assertFalse(sources.needs_pull("b", 11, 10, 0.0))
-        self.assertFalse(sources.needs_pull("b", 11, 11, 100.0))
-        self.assertFalse(sources.needs_pull("b", 12, 11, 200.0))
-        self.assertFalse(sources.needs_pull("b", 12, 11, 200.0 + MAX_LAG_MS - 1))
-        self.assertTrue(sources.needs_pull("b", 12, 11, 200.0 + MAX_LAG_MS))
+        health = SourceHealth()
+        self.assertFalse(health.needs_pull("b", 11, 10, 0.0))
+        self.assertFalse(health.needs_pull("b", 11, 11, 100.0))
+        self.assertFalse(health.needs_pull("b", 12, 11, 200.0))
+        self.assertFalse(health.needs_pull("b", 12, 11, 200.0 + MAX_LAG_MS - 1))
+        self.assertTrue(health.needs_pull("b", 12, 11, 200.0 + MAX_LAG_MS))
 
     def test_one_neighbour_ahead_and_one_equal(self):
         """One neighbour has a change that this daemon and the other neighbour lack.
@@ -140,16 +140,16 @@
         If the other neighbour counted as a sign that nothing is missing, the change
         would never spread further.
         """
-        sources = SourceHealth()
+        health = SourceHealth()
         for now_ms in range(0, MAX_LAG_MS, 50):
-            self.assertFalse(sources.needs_pull("b", 11, 10, float(now_ms)))
-            self.assertFalse(sources.needs_pull("d", 10, 10, float(now_ms)))
-        self.assertTrue(sources.needs_pull("b", 11, 10, float(MAX_LAG_MS)))
+            self.assertFalse(health.needs_pull("b", 11, 10, float(now_ms)))
+            self.assertFalse(health.needs_pull("d", 10, 10, float(now_ms)))
+        self.assertTrue(health.needs_pull("b", 11, 10, float(MAX_LAG_MS)))
 
     def test_neighbour_behind_is_ignored(self):
-        sources = SourceHealth()
-        self.assertFalse(sources.needs_pull("b", 9, 10, 0.0))
-        self.assertFalse(sources.needs_pull("b", 9, 10, 10_000.0))
+        health = SourceHealth()
+        self.assertFalse(health.needs_pull("b", 9, 10, 0.0))
+        self.assertFalse(health.needs_pull("b", 9, 10, 10_000.0))
 
 
 class RateTest(unittest.TestCase):
