--- a/src/tarragonramp/hotspots.py
+++ b/src/tarragonramp/hotspots.py
@@ -26,8 +26,8 @@
 """
 
 MIN_SPLIT_GAIN = 1.5
-"""How much more load a part of a range must move than the best whole range does. Each
-part of a split range is renewed separately from then on."""
+"""Factor by which the load moved with a part of a range must exceed that of the best
+whole range, because each part of a split range is renewed separately from then on."""
 
 HOT_KEY_SHARE = 0.5
 """Fraction of a server's capacity that a single key must use to be moved to a faster
@@ -37,8 +37,9 @@
 """Maximum processing time at the faster server, relative to the current owner."""
 
 MAX_RANGES_PER_SERVER = 40
-"""Ranges are not split beyond this number. Hot spots that wander over all keys for days
-would otherwise make the table and the number of renewals grow without limit."""
+"""Mean number of ranges per server beyond which no range is split. Hot spots that
+wander over all keys for days would otherwise make the table and the number of renewals
+grow without limit."""
 
 
 @attrs.define(eq=False)
@@ -152,6 +153,7 @@
 def _is_overloaded(most_loaded, owners, key_load):
     """Tell whether a server is busy and its load exceeds the mean significantly."""
     mean_ms = sum(owner.load_ms for owner in owners) / len(owners)
+    # Standard deviation of a server's load if requests choose servers by chance.
     deviation_ms = math.sqrt(
         mean_ms * key_load.request_ms / most_loaded.candidate.slots
     )
@@ -166,17 +168,16 @@
 def _move_hottest_key(owners, window_ms):
     """Move the hottest key to the fastest server; return what moves.
 
-    One key may receive more traffic than a server can handle, and how many of its
-    callers are served would then depend on which server happens to own it. The key
-    can't be split, but servers differ in speed by a factor of two or three, and the
-    number of callers served differs likewise.
+    One key may receive more traffic than a server can handle. It can't be split, and
+    how many of its callers are served depends on the speed of its owner. Servers differ
+    in speed by a factor of two or three, so this must not be left to chance.
     """
-    owner, range_load, at, hottest_load_ms = max(
+    owner, range_load, index, hottest_load_ms = max(
         (
-            (owner, range_load, at, took_ms)
+            (owner, range_load, index, took_ms)
             for owner in owners
             for range_load in owner.range_loads
-            for at, (_, took_ms) in enumerate(range_load.load_by_key)
+            for index, (_, took_ms) in enumerate(range_load.load_by_key)
         ),
         key=lambda found: found[3],
         default=(None, None, 0, 0.0),
@@ -189,7 +190,7 @@
     fastest = min(owners, key=lambda owner: owner.candidate.slowdown)
     if fastest.candidate.slowdown > MAX_SLOWDOWN_RATIO * owner.candidate.slowdown:
         return []
-    return [_reassign(_split_off(owner, range_load, at, at + 1), owner, fastest)]
+    return [_reassign(_split_off(owner, range_load, index, index + 1), owner, fastest)]
 
 
 def _reassign(range_load, owner, to):
@@ -200,9 +201,15 @@
 
 
 def _pop_movable_range(owner, max_ms, may_split):
-    """Remove and return an owner's range with the most load up to a limit, or None.
+    """Remove and return an owner's range with the most load up to a limit.
 
-    Returns a part of a range with more load only if that moves considerably more.
+    A range above the limit is split if the part that moves has ``MIN_SPLIT_GAIN`` times
+    the load of the best whole range, or if there is no such range.
+
+    Returns
+    -------
+    range_load : _RangeLoad or None
+        None if no range with load fits the limit, not even a part of one.
     """
     whole = max(
         (p for p in owner.range_loads if 0 < p.busy_ms <= max_ms),
--- a/src/tarragonramp/outliers.py
+++ b/src/tarragonramp/outliers.py
@@ -1,7 +1,8 @@
-"""Ejects slow or failed servers of a shared service temporarily.
+"""Decides which servers of a shared service are temporarily ejected, without I/O.
 
-Decisions without I/O, based on one entry's own observations: a server's load reports
-lag behind a short slowdown, and its health checks pass during it.
+An ejected server receives no requests. The decisions are based only on what one entry
+observes itself, because during a short slowdown a server's load reports lag behind and
+its health checks pass.
 """
 
 import math
@@ -38,6 +39,7 @@
 servers are enough."""
 
 MIN_LATENCY_MS = 0.1
+"""Shorter times count as this, because means are computed from logarithms."""
 
 
 @attrs.define
--- a/src/tarragonramp/placement.py
+++ b/src/tarragonramp/placement.py
@@ -11,11 +11,11 @@
 __all__ = ["ServerView", "initial_assignment", "next_slices"]
 
 MAX_MOVING_SHARE = 0.1
-"""Maximum fraction of a service's slices that may be moved at once for balance alone.
+"""Maximum fraction of a service's slices that may be moving at once for balance alone.
 
-An added server could otherwise take its whole share at once: it would be cold and own
-more than it can handle, and the callers of all these keys would wait for the moves.
-This way, callers of at most a tenth of the keys wait at any time.
+An added server could otherwise take its whole share at once: it would own more than it
+can handle while it is cold, and the callers of all these keys would wait for the moves.
+With the limit, callers of at most a tenth of the keys wait at any time.
 """
 
 
@@ -67,27 +67,30 @@
     slices : tuple of SliceState
         Equal to the argument if there is nothing to do.
     """
-    result = [_unowned_if_released(i, item, released) for i, item in enumerate(slices)]
+    result = [
+        _unowned_if_released(i, slice_state, released)
+        for i, slice_state in enumerate(slices)
+    ]
     _release_ineligible(result, servers)
     _assign_unowned(result, servers, settling)
     _balance(result, servers)
     return tuple(result)
 
 
-def _unowned_if_released(index, item, released):
-    if item.state == RELEASING and (index, item.token) in released:
-        return SliceState(UNOWNED, "", item.token)
-    return item
+def _unowned_if_released(index, slice_state, released):
+    if slice_state.state == RELEASING and (index, slice_state.token) in released:
+        return SliceState(UNOWNED, "", slice_state.token)
+    return slice_state
 
 
 def _release_ineligible(result, servers):
     """Start releasing the slices of servers that are lost, weighted 0 or not listed."""
-    for index, item in enumerate(result):
-        if item.state != OWNED:
+    for index, slice_state in enumerate(result):
+        if slice_state.state != OWNED:
             continue
-        server = servers.get(item.server)
+        server = servers.get(slice_state.server)
         if server is None or server.lost or server.weight <= 0:
-            result[index] = SliceState(RELEASING, item.server, item.token)
+            result[index] = SliceState(RELEASING, slice_state.server, slice_state.token)
 
 
 def _assign_unowned(result, servers, settling):
@@ -97,7 +100,9 @@
     failure domain is lost, comparing all servers for each slice would occupy the
     planner's core for seconds, during which its daemon renews no grants.
     """
-    unowned = [i for i, item in enumerate(result) if item.state == UNOWNED]
+    unowned = [
+        i for i, slice_state in enumerate(result) if slice_state.state == UNOWNED
+    ]
     if not unowned:
         return
     counts = _counts(result)
@@ -136,20 +141,20 @@
     if not recipients or not shares:
         return
     counts = _counts(result)
-    n_releasing = sum(1 for item in result if item.state == RELEASING)
+    n_releasing = sum(1 for slice_state in result if slice_state.state == RELEASING)
     budget = max(1, int(len(result) * MAX_MOVING_SHARE)) - n_releasing
     n_vacant = sum(max(0, int(shares[s.name]) - counts[s.name]) for s in recipients)
-    for index, item in enumerate(result):
+    for index, slice_state in enumerate(result):
         if budget <= 0 or n_vacant <= 0:
             return
-        if item.state != OWNED or item.server not in shares:
+        if slice_state.state != OWNED or slice_state.server not in shares:
             continue
-        if counts[item.server] <= math.ceil(shares[item.server]):
+        if counts[slice_state.server] <= math.ceil(shares[slice_state.server]):
             continue
-        counts[item.server] -= 1
+        counts[slice_state.server] -= 1
         budget -= 1
         n_vacant -= 1
-        result[index] = SliceState(RELEASING, item.server, item.token)
+        result[index] = SliceState(RELEASING, slice_state.server, slice_state.token)
 
 
 def _shares(n_slices, servers):
--- a/src/tarragonramp/propagation.py
+++ b/src/tarragonramp/propagation.py
@@ -37,9 +37,9 @@
 MAX_LAG_MS = 300
 """How long a neighbour may have newer data before its updates are fetched.
 
-Twice the ping interval, because updates normally arrive sooner. This is the only
-detection of a watch or parent that is lost without a closed connection, paused, or
-served an old state.
+Twice the default ping interval; updates normally arrive sooner. Nothing else detects
+that a watch or parent was lost without a closed connection, is paused, or was served an
+old state.
 """
 
 MIN_RETRY_MS = 200
@@ -157,7 +157,10 @@
         return self._suspected_until_ms.get(name, 0.0) <= now_ms
 
     def needs_pull(self, name, newest, own_newest, now_ms):
-        """Record a neighbour's newest version; True if its updates have to be fetched.
+        """Record a neighbour's newest version.
+
+        Returns True if the neighbour has been ahead for longer than ``MAX_LAG_MS``, so
+        that its updates have to be fetched.
 
         Parameters
         ----------
--- a/src/tarragonramp/range_placement.py
+++ b/src/tarragonramp/range_placement.py
@@ -34,11 +34,12 @@
     ----------
     name : str
     life : int
+        Start time of the server's process.
     address : str
     slots : int
         Requests that it processes at once.
     slowdown : float
-        Factor by which the server was slower lately; 1 is usual.
+        Factor by which the server was slower than usual lately.
     """
 
     name: str
@@ -60,8 +61,8 @@
     n_ranges = RANGES_PER_SERVER * len(candidates)
     ordered = sorted(candidates, key=lambda candidate: candidate.name)
     ranges = []
-    for at, (first, last) in enumerate(even_bounds(n_ranges)):
-        turn, place = divmod(at, len(ordered))
+    for index, (first, last) in enumerate(even_bounds(n_ranges)):
+        turn, place = divmod(index, len(ordered))
         # Shifted by one in each round, so that no two servers are always adjacent.
         owner = ordered[(place + turn) % len(ordered)]
         ranges.append(KeyRange(first, last, owner.name, owner.life, 1))
@@ -135,7 +136,8 @@
 def _fill_underloaded(table, candidates, key_share, max_new_moves, busy):
     """Give servers with far less than their fair share ranges of the most loaded ones.
 
-    Except the owner of a key so hot that the owner gave all others away.
+    Servers in ``busy()`` are excluded: they may own few keys because one is so hot that
+    they gave all others away.
     """
     by_owner = _settled_ranges(table, candidates)
     lives = {candidate.name: candidate.life for candidate in candidates}
@@ -144,15 +146,17 @@
     for key_range in table.ranges:
         if lives.get(key_range.owner) == key_range.life:
             loads[key_range.owner] += key_share(key_range) / slots[key_range.owner]
-    fair = 1.0 / sum(slots.values())
-    underloaded = [name for name in loads if loads[name] < MIN_FAIR_SHARE * fair]
+    fair_load = 1.0 / sum(slots.values())
+    underloaded = [name for name in loads if loads[name] < MIN_FAIR_SHARE * fair_load]
     if not underloaded:
         return []
     moved, busy_names = [], busy()
     for name in sorted(underloaded, key=loads.get):
         if name in busy_names:
             continue
-        while loads[name] < TARGET_FAIR_SHARE * fair and len(moved) < max_new_moves:
+        while (
+            loads[name] < TARGET_FAIR_SHARE * fair_load and len(moved) < max_new_moves
+        ):
             most_loaded = max(loads, key=loads.get)
             ranges = by_owner[most_loaded]
             if most_loaded == name or len(ranges) < 2:
--- a/src/tarragonramp/request.py
+++ b/src/tarragonramp/request.py
@@ -106,17 +106,19 @@
 
 
 def class_of(service, method, path):
-    """Return the first caller class that matches a request.
+    """Return the first caller class that matches a request, or the default class.
 
     Parameters
     ----------
     service : Service
     method, path : str
     """
-    rest = path[len(service.path_prefix) :] or "/"
-    for item in service.classes:
-        if method in item.methods and rest.startswith(item.path_prefix):
-            return item
+    subpath = path[len(service.path_prefix) :] or "/"
+    for caller_class in service.classes:
+        if method in caller_class.methods and subpath.startswith(
+            caller_class.path_prefix
+        ):
+            return caller_class
     return DEFAULT_CLASS
 
 
@@ -214,9 +216,9 @@
 def end_to_end_request_headers(headers):
     """Return the headers of a request that are forwarded to the server.
 
-    Hop-by-hop headers, those named by the sender's ``Connection`` header and all that
-    only this project may set are left out. Otherwise, a caller's own ``Tarragon-Token``
-    would be accepted as a fencing token.
+    Left out are hop-by-hop headers, those that the sender's ``Connection`` header names
+    and all that only this project may set: a server would accept a caller's own
+    ``Tarragon-Token`` as a fencing token.
 
     Parameters
     ----------
@@ -280,6 +282,7 @@
 
 
 def _path_keys(path, prefix, position):
+    """Return a list with the path's part at a position, or an empty list."""
     if _ENCODED_SEPARATOR.search(path):
         raise RequestError(400, NOT_RUN, "encoded separator in the path")
     # The caller may have escaped the prefix differently than it is declared.
--- a/src/tarragonramp/routing.py
+++ b/src/tarragonramp/routing.py
@@ -84,24 +84,29 @@
         assignment = self.view.assignment(team, service)
         if assignment is None or index >= len(assignment.slices):
             return None
-        item = assignment.slices[index]
-        vm = self.view.vms.get(item.server)
-        if item.state != OWNED or vm is None:
+        slice_state = assignment.slices[index]
+        vm = self.view.vms.get(slice_state.server)
+        if slice_state.state != OWNED or vm is None:
             return None
-        checks = self.view.services()[team, service].checks_grants
-        gated_at = () if checks else (team, service)
+        checks_grants = self.view.services()[team, service].checks_grants
+        gated_at = () if checks_grants else (team, service)
         return Route(
-            item.server, vm.address, index, item.token, gated_at, (team, service)
+            slice_state.server,
+            vm.address,
+            index,
+            slice_state.token,
+            gated_at,
+            (team, service),
         )
 
 
 def less_loaded(routes, load_of, rng):
     """Return the less loaded of two routes chosen at random.
 
-    Many entries select servers at once based on outdated load. If all of them used the
-    least loaded server, they would overload it. Two random choices remove most of the
-    imbalance of a single one; with more, the entries would converge on the same server
-    again.
+    Many entries select servers at the same time, from outdated loads. If all of them
+    chose the least loaded server, they would overload it. Choosing between two random
+    servers removes most of the imbalance that a single random choice leaves; with more
+    than two, the entries would converge on the same server again.
 
     Parameters
     ----------
