--- a/src/tarragonramp/client.py
+++ b/src/tarragonramp/client.py
@@ -119,10 +119,10 @@
             If an address is malformed or the file cannot be read.
         """
         text = daemon or environment.get(DAEMON_VARIABLE, DEFAULT_DAEMON)
-        addresses = tuple(item.strip() for item in text.split(","))
-        for item in addresses:
+        addresses = tuple(address.strip() for address in text.split(","))
+        for address in addresses:
             try:
-                check_address(None, None, item)
+                check_address(None, None, address)
             except ValueError as error:
                 raise CommandError(EXIT_INVALID, f"--daemon: {error}") from error
         path = secret_file or environment.get(SECRET_FILE_VARIABLE, "")
--- a/src/tarragonramp/command.py
+++ b/src/tarragonramp/command.py
@@ -103,7 +103,7 @@
     Parameters
     ----------
     file
-        Files to compare.
+        Files to compare with the platform.
     daemon
         Control address of any daemon.
     secret_file
@@ -181,7 +181,7 @@
 
     A deleted team stops serving requests at once and is removed as soon as it is proved
     that the owners of its keys have released them; applying it again before that keeps
-    it. Deleting a FailureDomain revokes a state that was set for it.
+    it. Deleting a FailureDomain returns it to service if it was out or lost.
 
     Example: tarragonramp delete Team fraser-valley
 
@@ -238,12 +238,12 @@
         result = read_file(path)
         if is_successful(result):
             documents = result.unwrap()
-            settings = is_settings(documents[0])
-            content = "settings" if settings else "declarations"
+            has_settings = is_settings(documents[0])
+            content = "settings" if has_settings else "declarations"
             rows.append({"file": path, "holds": content, "documents": len(documents)})
-            checked = check_settings(documents, {}) if settings else None
-            result = checked or declarations_of(documents)
-            if checked is None:
+            settings = check_settings(documents, {}) if has_settings else None
+            result = settings or declarations_of(documents)
+            if settings is None:
                 declarations.extend(result.value_or(()))
         if not is_successful(result):
             faults.extend(result.failure().faults)
@@ -329,8 +329,8 @@
 ):
     """Show the audit trail of changes and their outcomes, newest first.
 
-    The outcomes are done, refused, conflict, not-done, unknown, and begun: the change
-    was attempted and its outcome was not recorded.
+    The outcomes are done, refused, conflict, not-done, unknown and begun. "begun" means
+    that the change was attempted and its outcome was not recorded.
 
     Example: tarragonramp audit --limit 20
 
@@ -531,6 +531,7 @@
 
 
 def _is_template_fault(fault):
+    """Return whether a fault may disappear with a template that the platform has."""
     return fault.path == "spec.template"
 
 
--- a/src/tarragonramp/console.py
+++ b/src/tarragonramp/console.py
@@ -100,7 +100,10 @@
         if not row["in_force"] and not is_lost:
             daemons = ", ".join(row["lagging"]) or "no daemon has reported"
             version = row["in_force_version"]
-            found.append(f"failure domain {name}: {version} of {intended} ({daemons})")
+            found.append(
+                f"failure domain {name}: version {version} of {intended} in force "
+                f"({daemons})"
+            )
         if row["order"] != "in" and row["slices_owned"]:
             n_slices = row["slices_owned"]
             found.append(f"failure domain {name}: still holds {n_slices} slices")
@@ -114,7 +117,7 @@
 
 
 def audit_rows(entries):
-    """Return audit entries as table rows, the most relevant columns first."""
+    """Return a table row for each audit entry."""
     return [
         {
             "time": _format_time(entry["at_ms"]),
--- a/src/tarragonramp/explanation.py
+++ b/src/tarragonramp/explanation.py
@@ -16,9 +16,10 @@
 def explain_request(request_id: str, *, log: list[str] | None = None):
     """Trace one request through the logs of the daemons.
 
-    Prints the log lines of all daemons in order of time; their clocks may differ by
-    100 ms. Besides the lines of the request itself, these are the lines of its daemon,
-    and those of any daemon about the servers the request was sent to, from 5 s before.
+    Prints log lines in order of time; the clocks of daemons may differ by 100 ms. These
+    are the lines of the request itself and, from 5 s before its first one, other lines
+    of its daemon and lines of any daemon about the servers that the request was sent
+    to. Lines of other requests are left out.
 
     Example: tarragonramp explain-request 9c41d07be2a35f68 --log d1.log d2.log
 
--- a/src/tarragonramp/meters.py
+++ b/src/tarragonramp/meters.py
@@ -56,11 +56,12 @@
 
 @attrs.define
 class RequestTimes:
-    """Times of one request.
+    """Start time of one request and its time at backend servers.
 
     Parameters
     ----------
     began_ms : float
+        Start on the daemon's clock.
     service : str
         ``team/service``; empty until it is known.
     service_ms : float
@@ -86,7 +87,8 @@
     Parameters
     ----------
     by_outcome : dict of (str, str) to object
-        By service and outcome, the histograms ``wait``, ``service`` and ``total``.
+        By service and outcome, the histograms ``service`` (time at backend servers),
+        ``wait`` (the rest of the time) and ``total``.
     in_flight : int
         Requests started and not yet finished.
     """
@@ -126,8 +128,8 @@
     Parameters
     ----------
     messages, bytes : dict of (str, str) to int
-        Keys are kind and ``"in"`` or ``"out"``. Bytes are counted above TCP; for gRPC
-        they are the payload and a measured constant.
+        Keys are kind and ``"in"`` or ``"out"``. Bytes are counted above TCP; for gRPC,
+        they are the payload and a measured constant for headers and frames.
     """
 
     messages: dict = attrs.Factory(dict)
@@ -155,8 +157,10 @@
     path = target.partition("?")[0]
     parts = path.strip("/").split("/")
     if parts[0] == "v1" and len(parts) > 1:
-        reads = "get" if method == "GET" else "write"
-        return {"watch": "watch", "vms": "vm-list"}.get(parts[1], f"platform-{reads}")
+        operation = "get" if method == "GET" else "write"
+        return {"watch": "watch", "vms": "vm-list"}.get(
+            parts[1], f"platform-{operation}"
+        )
     if parts[0] in ("tarragon", "peer") and len(parts) == 2:
         known = {"grant", "clock", "ping", "digest", "news"}
         return parts[1] if parts[1] in known else OTHER
--- a/src/tarragonramp/settings.py
+++ b/src/tarragonramp/settings.py
@@ -44,7 +44,8 @@
         Silence of a term's holder after which its named successor takes the term over.
     right_ms : int
         How long the holder of a term may act after its successor last confirmed it.
-        Has to be the same on all daemons.
+        Has to be the same on all daemons, because a successor waits this long before it
+        acts.
     control_timeout_ms : int
         Timeout of pings, grants and calls between daemons.
     platform_timeout_ms : int
@@ -317,6 +318,7 @@
 
 
 def _consistency_faults(settings):
+    """Return the faults of settings that are valid by themselves but not together."""
     return (
         _address_faults(settings)
         + _timing_faults(settings.timing)
@@ -349,8 +351,8 @@
     """Return a fault for each port that would accept unauthenticated calls.
 
     Anyone who reaches an unprotected control port could take a failure domain out of
-    service. On an unprotected peer port he could impersonate a daemon, and two daemons
-    could hold the same term.
+    service. On an unprotected peer port, they could impersonate a daemon, so that two
+    daemons hold the same term.
     """
     security, faults = settings.security, []
     ports = [settings.control_address, settings.peer_address]
@@ -375,6 +377,7 @@
 
 
 def _load_secrets(settings) -> Result:
+    """Return the settings with the secrets read from the files that they name."""
     security, faults = settings.security, []
     for port_role in ("operator", "peer"):
         path = getattr(security, f"{port_role}_secret_file")
--- a/tests/test_command.py
+++ b/tests/test_command.py
@@ -456,7 +456,7 @@
         self.assertGreater(min(tokens), min(item[4] for item in before))
 
     def test_4_watch_names_a_lagging_daemon(self):
-        """A daemon is frozen while the configuration changes."""
+        """A daemon is paused while the configuration changes."""
         self.site.signal("d2", signal.SIGSTOP)
         try:
             self.assertEqual(self.run_command("domain", "take-out", "b")[0], 0)
