--- a/src/tarragonramp/checks.py
+++ b/src/tarragonramp/checks.py
@@ -1,4 +1,8 @@
-"""Validators for the fields of attrs classes."""
+"""Validators for the fields of attrs classes.
+
+They raise ValueError with a message that contains the value and what is expected; only
+``header_name`` returns a bool instead.
+"""
 
 import re
 
@@ -35,7 +39,9 @@
     match = _ADDRESS.match(value)
     numbers = [int(item) for item in match.groups()] if match else []
     if not match or max(numbers[:4]) > 255 or not 0 < numbers[4] <= 65535:
-        raise ValueError(f"{value!r}: expected IP number and port, as 10.0.0.1:7000")
+        raise ValueError(
+            f"{value!r}: expected IP number and port, such as 10.0.0.1:7000"
+        )
 
 
 def address_or_empty(instance, attribute, value):
@@ -53,7 +59,7 @@
     """Accept an absolute path without dot segments or characters that need escaping."""
     plain = value.startswith("/") and _PREFIX.match(value)
     if not plain or "/./" in f"{value}/" or "/../" in f"{value}/":
-        raise ValueError(f"{value!r}: expected an absolute path, as /claims")
+        raise ValueError(f"{value!r}: expected an absolute path, such as /claims")
 
 
 def between(low, high):
--- a/src/tarragonramp/errors.py
+++ b/src/tarragonramp/errors.py
@@ -160,7 +160,7 @@
 
 @attrs.define(eq=False)
 class RequestError(TarragonError):
-    """A caller's request is refused or failed by the router itself.
+    """The router answers a caller's request with an error of its own.
 
     Parameters
     ----------
@@ -173,7 +173,7 @@
     retry_after_s : float or None
         Delay after which the caller may retry.
     inputs : dict
-        Values that led to the decision, for the log.
+        Values on which the decision is based, for the log.
     """
 
     status: int
--- a/src/tarragonramp/structuring.py
+++ b/src/tarragonramp/structuring.py
@@ -77,6 +77,8 @@
 
 
 def _strict_hook(target_type):
+    """Return a hook that accepts values of a type only, or an int for a float."""
+
     def convert(raw, _):
         fits = isinstance(raw, (int, float) if target_type is float else target_type)
         if not fits or (isinstance(raw, bool) and target_type is not bool):
@@ -148,6 +150,7 @@
     return convert
 
 
+# Converts the contents of containers. It lacks the container hook, which uses it.
 _ITEM_CONVERTER = _make_converter()
 _CONVERTER = _make_converter()
 _CONVERTER.register_structure_hook_factory(_is_container, _container_hook)
--- a/src/tarragonramp/teams.py
+++ b/src/tarragonramp/teams.py
@@ -132,6 +132,7 @@
 
 
 def _parameter_values(template, team):
+    """Return the team's parameters completed with defaults, and a list of faults."""
     faults = [
         Fault(f"parameters.{name}", f"template {team.template!r} has no such parameter")
         for name in team.parameters
@@ -191,6 +192,7 @@
 
 
 def _duplicate_faults(services):
+    """Return a fault for each service with the name or path of an earlier one."""
     faults = []
     for index, service in enumerate(services):
         earlier = services[:index]
@@ -231,16 +233,16 @@
     faults = []
     if len(classes) > MAX_CALLER_CLASSES:
         faults.append(Fault(path, f"more than {MAX_CALLER_CLASSES} caller classes"))
-    for index, item in enumerate(classes):
-        if not item.methods:
+    for index, caller_class in enumerate(classes):
+        if not caller_class.methods:
             faults.append(Fault(f"{path}[{index}].methods", "expected at least one"))
             continue
-        for other in classes[:index]:
-            if other.name == item.name:
-                message = f"{item.name!r}: another class has it"
+        for earlier in classes[:index]:
+            if earlier.name == caller_class.name:
+                message = f"{caller_class.name!r}: another class has it"
                 faults.append(Fault(f"{path}[{index}].name", message))
-            elif _shadows(other, item):
-                message = f"never used: every request of it matches {other.name!r}"
+            elif _shadows(earlier, caller_class):
+                message = f"never used: every request of it matches {earlier.name!r}"
                 faults.append(Fault(f"{path}[{index}]", message))
     return faults
 
--- a/src/tarragonramp/timelines.py
+++ b/src/tarragonramp/timelines.py
@@ -1,8 +1,9 @@
 """Timeline of one request, assembled from the logs of several daemons.
 
 A log line consists of ``key=value`` pairs; ``id`` is the id of a request. The timeline
-also contains what a daemon logged about servers, keys or the store shortly before and
-while it processed the request, because that may have determined the outcome.
+also contains what the request's daemons logged about servers, keys or the store, and
+what any daemon logged about the servers the request was sent to, shortly before and
+while it was processed: that may have determined the outcome.
 """
 
 import datetime
@@ -14,8 +15,8 @@
 __all__ = ["REQUEST_EVENTS", "LogLine", "parse_line", "request_timeline"]
 
 LOOKBACK_MS = 5000.0
-"""How long before a request its timeline begins: an observation of this age may still
-have determined the outcome."""
+"""How long before the request's first line its timeline begins: an observation of this
+age may still have determined the outcome."""
 
 MAX_CLOCK_SKEW_MS = 100.0
 """Assumed maximum difference between the clocks of two VMs; the order of two lines of
@@ -77,8 +78,8 @@
     Returns
     -------
     timeline : list of (LogLine, str)
-        Each line with its relevance: empty for lines of the request itself, else why
-        the line is included. An empty list if no line names the request.
+        Each line with its relevance: empty for lines of the request itself, otherwise
+        why the line is included. The list is empty if no line names the request.
     """
     lines = sorted(lines, key=lambda line: line.at_ms)
     own_lines = [line for line in lines if line.fields.get("id") == request_id]
