--- a/src/tarragonramp/admission.py
+++ b/src/tarragonramp/admission.py
@@ -375,8 +375,9 @@
         """Multiply the limit by a factor, at most once for each round of responses.
 
         It is not reduced below ``floor``: one request after the server shed a request,
-        the entry's share after high latency or a lost request. Otherwise, all entries
-        together would starve a server that is slow for other reasons.
+        the entry's share after high latency or a lost request. With a lower floor for
+        these, all entries together would starve a server that is slow for other
+        reasons.
         """
         if now_ms < self._cooldown_until_ms:
             return
--- a/src/tarragonramp/balancing.py
+++ b/src/tarragonramp/balancing.py
@@ -123,7 +123,7 @@
 class _DemandMeans:
     """Moving averages of the processing time that one request to a service needs.
 
-    ``urgent_ms`` counts the time of other than the most urgent requests as zero.
+    In ``urgent_ms``, all but the most urgent requests count as zero.
     """
 
     all_ms: float
@@ -247,7 +247,7 @@
         return self._stats_of(name).recent_peer_count(now_ms)
 
     def slowdown(self, name, now_ms):
-        """Return the factor by which a server was slower than usual lately."""
+        """Return a server's recent processing time as a multiple of the usual one."""
         return self._stats_of(name).typical_slowdown(now_ms)
 
     def is_backing_off(self, name, now_ms):
--- a/src/tarragonramp/range_placement.py
+++ b/src/tarragonramp/range_placement.py
@@ -39,7 +39,7 @@
     slots : int
         Requests that it processes at once.
     slowdown : float
-        Factor by which the server was slower than usual lately.
+        Recent processing time as a multiple of the usual one.
     """
 
     name: str
--- a/src/tarragonramp/request.py
+++ b/src/tarragonramp/request.py
@@ -282,7 +282,13 @@
 
 
 def _path_keys(path, prefix, position):
-    """Return a list with the path's part at a position, or an empty list."""
+    """Return the path's part at a position after the prefix, as a list of at most one.
+
+    Raises
+    ------
+    RequestError
+        400 if the path contains an encoded separator: servers may count it as one.
+    """
     if _ENCODED_SEPARATOR.search(path):
         raise RequestError(400, NOT_RUN, "encoded separator in the path")
     # The caller may have escaped the prefix differently than it is declared.
--- a/src/tarragonramp/server_stats.py
+++ b/src/tarragonramp/server_stats.py
@@ -100,11 +100,14 @@
         )
 
     def typical_slowdown(self, now_ms):
-        """Return the factor by which processing was slower than usual lately."""
+        """Return the recent processing time as a multiple of the usual one."""
         return self._decayed(self.slowdown, 1.0, now_ms)
 
     def current_slowdown(self, now_ms):
-        """Return the factor by which processing is slower than usual at this moment."""
+        """Return the present processing time as a multiple of the usual one.
+
+        Includes the slowness that the server itself has reported last.
+        """
         slowdown = self.typical_slowdown(now_ms)
         if self.report is not None:
             age = (now_ms - self.report_ms) / SLOWNESS_HALF_LIFE_MS
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -57,7 +57,13 @@
         heapq.heappush(self._events, (time_ms, next(self._order), action, arguments))
 
     def offer(
-        self, rate, priority, until_ms, work_ms=10.0, from_ms=0.0, caller_timeout=2000
+        self,
+        rate,
+        priority,
+        until_ms,
+        work_ms=10.0,
+        from_ms=0.0,
+        caller_timeout_ms=2000,
     ):
         """Let callers arrive at random entries at an average rate per second."""
         time_ms = from_ms
@@ -67,7 +73,9 @@
                 return
             took_ms = work_ms(self.rng) if callable(work_ms) else work_ms
             limiter = self.rng.choice(self.limiters)
-            self.at(time_ms, self._arrive, limiter, priority, took_ms, caller_timeout)
+            self.at(
+                time_ms, self._arrive, limiter, priority, took_ms, caller_timeout_ms
+            )
 
     def run(self):
         """Run to the end; return results by class."""
@@ -83,7 +91,7 @@
         result = Result(priority, self.now_ms)
         self.results.append(result)
         ticket = Ticket(priority, self.now_ms + caller_timeout_ms)
-        ticket.on_change = lambda: self._go_on(limiter, ticket, result, work_ms)
+        ticket.on_change = lambda: self._on_decision(limiter, ticket, result, work_ms)
         self._wake(limiter.submit(ticket, self.now_ms))
         if ticket.state == WAITING:
             self.at(
@@ -101,9 +109,9 @@
         for ticket in tickets:
             ticket.on_change()
 
-    def _go_on(self, limiter, ticket, result, work_ms):
+    def _on_decision(self, limiter, ticket, result, work_ms):
         if ticket.state == REFUSED:
-            self._end(result, "refused")
+            self._record_result(result, "refused")
             result.retry_after_ms = ticket.retry_after_ms
             return
         in_flight = sum(limiter.in_flight for limiter in self.limiters)
@@ -114,7 +122,7 @@
         elif len(self.queue) < 7 * self.slots:
             self.queue.append(job)
         else:
-            self._end(result, "shed")
+            self._record_result(result, "shed")
             self._wake(limiter.release(Outcome.SHED, 1.0, self.now_ms))
 
     def _execute(self, job):
@@ -127,12 +135,12 @@
         if self.queue:
             self._execute(self.queue.popleft())
         in_time = self.now_ms <= ticket.deadline_at_ms
-        self._end(result, "answered" if in_time else "late")
+        self._record_result(result, "answered" if in_time else "late")
         self._wake(
             limiter.release(Outcome.ANSWERED, self.now_ms - sent_ms, self.now_ms)
         )
 
-    def _end(self, result, kind):
+    def _record_result(self, result, kind):
         result.kind, result.total_ms = kind, self.now_ms - result.began_ms
 
 
