--- a/src/tarragonramp/leases.py
+++ b/src/tarragonramp/leases.py
@@ -70,6 +70,8 @@
 
 @attrs.define
 class _ClockReading:
+    """The server's clock, and the steward's before the request and at the response."""
+
     clock_ms: float
     sent_ms: float
     arrived_ms: float
@@ -77,6 +79,8 @@
 
 @attrs.define
 class _SentGrant:
+    """A grant and its renewals with the same slices; ``until_ms`` is the latest end."""
+
     sequence: int
     boot_id: str
     tokens: dict[int, int]
@@ -124,12 +128,12 @@
 
     @property
     def in_doubt(self):
-        """Whether the latest grant sent has neither been answered nor written off."""
+        """Whether the latest grant may have been delivered but is not answered yet."""
         return self._awaiting_answer
 
     @property
     def fenced(self):
-        """Whether the server refuses all grants of earlier stewards from now on."""
+        """Whether no earlier steward can send a grant to any process of the server."""
         return self._fenced
 
     def next_grant(self, tokens, now_ms, known_process_only=False):
@@ -234,7 +238,7 @@
         self._awaiting_answer = False
 
     def released(self, slice_index, now_ms):
-        """Tell whether it is proved that no process at this server owns a slice.
+        """Return the proof that no process of this server owns a slice, if any.
 
         Parameters
         ----------
--- a/src/tarragonramp/ranges.py
+++ b/src/tarragonramp/ranges.py
@@ -18,7 +18,7 @@
 delivered."""
 
 MAX_FENCES_PER_TERM = 8
-"""Fencing attempts that one leader has per move. Later terms use higher tokens."""
+"""Fencing attempts that one leader has per move. Later leaders use higher tokens."""
 
 
 def fence_token(old_token, term, attempt):
@@ -49,7 +49,7 @@
     owner : str
         Empty until the range is assigned for the first time.
     life : int
-        Start time of the owner's process.
+        Start time of the owner's process in Unix milliseconds.
     token : int
         Fencing token of the current owner, or of the new owner during a move.
     old_owner, old_life, old_token : str, int, int
@@ -196,9 +196,10 @@
     def to_spec(self):
         """Return the table as JSON-compatible data for the store.
 
-        Stored by column; of the bounds of a complete table, only the split points. Each
-        move writes the table twice and other daemons read it over metered links, and
-        one row per range is three times as long.
+        The table is stored by column, and the bounds of a complete table as the number
+        of initial ranges and the keys before which some of them were split. One row per
+        range would be three times as long; each move writes the table twice, and other
+        daemons read it over metered links.
         """
         owners = {(r.owner, r.life) for r in self.ranges}
         owners |= {(r.old_owner, r.old_life) for r in self.ranges if r.is_moving}
@@ -274,8 +275,9 @@
 
 
 MAX_TABLE_VERSIONS = 32
-"""Versions of each table that are kept. Each move is written twice and daemons ask for
-updates every half second; a daemon that is further behind gets the whole table."""
+"""Number of versions of each table that are kept. Each move is written twice and
+daemons ask for updates every half second; a daemon that is further behind gets the
+whole table."""
 
 
 @attrs.define(eq=False, repr=False)
--- a/src/tarragonramp/terms.py
+++ b/src/tarragonramp/terms.py
@@ -1,8 +1,9 @@
 """Terms: roles that at most one daemon holds at a time.
 
-The platform decides by conditional updates who holds a term. Between updates, the named
-successor's confirmation that it has not taken over extends the holder's right, so that
-a platform outage stops no role. This is neither a consensus group nor a store.
+The platform decides by conditional updates who holds a term. The holder's right to act
+ends at a time on its own clock. An update extends it, and between updates the named
+successor's confirmation that it has not taken over does, so that a platform outage
+stops no role. This is neither a consensus group nor a store.
 """
 
 import math
@@ -26,8 +27,8 @@
 """
 
 RENEWAL_SHARE = 0.4
-"""Remaining share of a right at which the platform is asked if there are no
-confirmations."""
+"""Remaining share of a right at which the holder sends an update to the platform,
+because no confirmation has extended the right."""
 
 
 @attrs.frozen
@@ -160,7 +161,7 @@
         if self.pending is None:
             if not self.successor:
                 # Nobody can take the term before this update takes effect, and whoever
-                # takes it afterwards waits for a whole right.
+                # takes it afterwards waits for the whole duration of a right.
                 self.right_ends_ms = now_ms + self.right_ms
             term = Term(
                 self.number,
@@ -353,7 +354,7 @@
             # Before the update is sent: confirmations stop now.
             self._revoked[term.holder] = term.number
         self.claiming = TermWrite(
-            self.role, self._taking(term, plan, request_id), version
+            self.role, self._claimed_term(term, plan, request_id), version
         )
         return self.claiming
 
@@ -425,8 +426,9 @@
         """Return when the rights of all earlier holders have ended.
 
         The previous holder may have consented or departed while the right of its own
-        predecessor, which it was waiting for, still runs. So every change of holder is
-        followed by a whole right, unless the term says that this is not needed.
+        predecessor, which it was waiting for, still runs. So after every change of
+        holder, earlier rights count as running for the whole duration of a right,
+        unless the term says that they have ended.
         """
         if term.settled:
             return now_ms
@@ -434,7 +436,8 @@
             return self._takeover.old_right_ends_ms(now_ms)
         return now_ms + max(self.right_ms, term.right_ms) * RIGHT_MARGIN
 
-    def _taking(self, term, plan, request_id):
+    def _claimed_term(self, term, plan, request_id):
+        """Return the term that a claim writes."""
         if term is None:
             term = Term(0, "", settled=True)
         vacant = not term.holder
@@ -485,7 +488,8 @@
     departed : callable
         ``departed(identity)`` is True if that process is known to have ended.
     silent : callable
-        ``silent(identity)`` is True if that process has exceeded the silence timeout.
+        ``silent(identity)`` is True if nothing has been received from that process for
+        the silence timeout.
 
     Returns
     -------
