--- a/src/tarragonramp/gates.py
+++ b/src/tarragonramp/gates.py
@@ -1,8 +1,8 @@
 """Admission of requests to backend servers that only their steward may send to.
 
-These are servers that do not verify the sender of a request, at any time, and all
-servers in a cold start until they can take their full load. All decisions here are the
-steward's; entries forward callers' requests to it.
+Servers that do not verify the sender of a request are always restricted in this way,
+all other servers only in a cold start, until they can take their full load. All
+decisions here are the steward's; entries forward callers' requests to it.
 """
 
 import collections
@@ -16,7 +16,7 @@
 __all__ = ["Admission", "Gate", "ForwardedRequest", "ColdStartState"]
 
 MIN_DEADLINE_MS = 5.0
-"""Deadlines shorter than this pass before the server has started."""
+"""Deadlines shorter than this pass before the server starts to process a request."""
 
 MAX_WAITING_PER_SLOT = 4
 """Requests that may wait for a server, per slot of the server.
@@ -73,7 +73,17 @@
 
 @attrs.define
 class _UnprovedRequests:
-    """Requests that may still run, and the state of the proof that they have ended."""
+    """Requests that may still run, and the state of the proof that they have ended.
+
+    Parameters
+    ----------
+    since_ms : float
+        A probe sent later than this reaches the server after all of the requests.
+    longest_ms : float
+        Longest deadline of the requests.
+    probed_ms : float or None
+        When the response to the first such probe arrived.
+    """
 
     since_ms: float
     longest_ms: float
@@ -93,7 +103,7 @@
 
     Parameters
     ----------
-    warmth : Warmth
+    cold_start : ColdStartState
         Tracks how many requests from all daemons the server can take at once.
     longest_ms : float
         Longest deadline that is passed to the server: the duration of a right.
@@ -101,16 +111,20 @@
         When earlier stewards may not send any more, on this steward's clock.
     earlier_longest_ms : float
         Longest deadline that an earlier steward may have passed to the server.
-    checks : bool, default=False
+    checks_grants : bool, default=False
         Whether the server refuses superseded stewards; if so, a request that it is
         working on may outlast the right.
+    boot_id : str
+        Boot id in the latest response to a probe.
+    waiting : int
+        Number of requests in the queue, maintained by the caller.
     """
 
     cold_start: object
     longest_ms: float
     earlier_right_ends_ms: float
     earlier_longest_ms: float
-    checks: bool = False
+    checks_grants: bool = False
     boot_id: str = ""
     waiting: int = 0
     _last_probe_ms: float = 0.0
@@ -168,7 +182,7 @@
         if right_ms < MIN_DEADLINE_MS:
             return Admission(reason="steward has no right")
         timeout_ms = deadline_at_ms - now_ms
-        if not self.checks:
+        if not self.checks_grants:
             timeout_ms = min(timeout_ms, right_ms)
         if timeout_ms < MIN_DEADLINE_MS:
             return Admission(reason="deadline passed")
@@ -240,7 +254,7 @@
         self._earlier = _UnprovedRequests(math.inf, self.longest_ms)
 
     def released(self, slice_index):
-        """Tell whether it is proved that no request for a slice can run at the server.
+        """Return the proof that no request for a slice can run any more, if any.
 
         The caller must ensure that no further request for the slice is admitted.
 
@@ -255,6 +269,7 @@
 
 
 def _is_proved(unproved, sent_ms, arrived_ms):
+    """Process a probe; tell whether it proves that the requests have ended."""
     if unproved is None:
         return False
     if unproved.probed_ms is None:
@@ -282,7 +297,7 @@
     ----------
     cold_slots, slots : int
         Requests that it can take at once in a cold start, and when warm.
-    vouched : bool, default=False
+    known_warm : bool, default=False
         Whether this daemon has been sending to the server directly, as one reported to
         be warm, over connections that are still open. The first process seen is then
         assumed to be warm. Otherwise each handover of a term, as in a rolling restart
--- a/src/tarragonramp/permits.py
+++ b/src/tarragonramp/permits.py
@@ -5,8 +5,8 @@
 __all__ = ["DirectSendPermits"]
 
 MAX_UNCONNECTED_MS = 250.0
-"""How long a permit is valid while no open connection shows that the server is the
-same."""
+"""How long a permit is valid while no open connection shows that the server process is
+the same."""
 
 
 @attrs.define
@@ -26,7 +26,10 @@
         self._permits[server] = (address, now_ms)
 
     def revoke(self, server):
-        """Withdraw a permit after a failed exchange or a sign of a cold start."""
+        """Withdraw a permit after a failed exchange or a sign of a cold start.
+
+        Signs of a cold start are a shed request and a response that reports it.
+        """
         self._permits.pop(server, None)
 
     def contains(self, server):
@@ -46,10 +49,10 @@
             ``is_connected()`` is True if a connection to the server is open.
         now_ms : float
         """
-        given_at, given_ms = self._permits.get(server, ("", 0.0))
-        if given_at != address:
+        permit_address, allowed_ms = self._permits.get(server, ("", 0.0))
+        if permit_address != address:
             return False
-        if is_connected() or now_ms - given_ms <= MAX_UNCONNECTED_MS:
+        if is_connected() or now_ms - allowed_ms <= MAX_UNCONNECTED_MS:
             return True
         self.revoke(server)
         return False
--- a/src/tarragonramp/removals.py
+++ b/src/tarragonramp/removals.py
@@ -8,8 +8,8 @@
 __all__ = ["RemovalLog"]
 
 MAX_ENTRIES = 1000
-"""Removals, and gaps, that are kept. Without a bound, memory would grow with each
-release of a large service for as long as the daemon runs."""
+"""Number of removals, and of gaps, that are kept. Without a bound, memory would grow
+with each release of a large service for as long as the daemon runs."""
 
 
 @attrs.define(eq=False, repr=False)
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -118,22 +118,22 @@
         self.assertEqual(new.released(0), "drained")
 
 
-class WarmupStateTest(unittest.TestCase):
+class ColdStartStateTest(unittest.TestCase):
     """Load of a server after its start, with 1 cold slot and 4 slots."""
 
-    def widths(self, cold_start, *times_ms):
+    def limits(self, cold_start, *times_ms):
         return [cold_start.max_in_flight(at_ms) for at_ms in times_ms]
 
     def test_cold_server_is_limited_to_its_cold_slots(self):
         cold_start = ColdStartState(1, 4)
         self.assertEqual(cold_start.max_in_flight(0.0), 1)
         cold_start.observe("b1", True, 10.0)
-        self.assertEqual(self.widths(cold_start, 10.0, 1e6), [1, 1])
+        self.assertEqual(self.limits(cold_start, 10.0, 1e6), [1, 1])
 
     def test_limit_of_a_warmed_up_server_grows_in_steps(self):
         cold_start = ColdStartState(1, 4)
         cold_start.observe("b1", False, 0.0)
-        self.assertEqual(self.widths(cold_start, 0.0, 500.0, 1000.0, 1e6), [1, 2, 4, 4])
+        self.assertEqual(self.limits(cold_start, 0.0, 500.0, 1000.0, 1e6), [1, 2, 4, 4])
         self.assertFalse(cold_start.is_warm(999.0))
         self.assertTrue(cold_start.is_warm(1000.0))
 
