--- a/src/tarragonramp/directory.py
+++ b/src/tarragonramp/directory.py
@@ -11,8 +11,8 @@
 
 RETURN_GRACE_MS = 2500.0
 """How long the entry of a server may be missing after an outage of the store. Entries
-that expired during the outage return within two seconds; the half second allows for
-their way to this daemon."""
+that expired during the outage return within two seconds; the half second allows for the
+time until this daemon reads them. A server that is missing for longer has left."""
 
 MISSING_ROUTABLE_MS = 1400.0
 """How long a server whose entry is missing is still sent requests. When the store
@@ -34,6 +34,7 @@
         not held by another.
     service, address, failure_domain : str
     slots : int
+        Number of requests that it processes at once.
     draining : bool
     cold_ms : float
         Remaining cold start when the entry was written.
@@ -131,6 +132,12 @@
 
         Servers of a returning domain may have become cold without reporting it, so they
         count as cold for the whole warm-up time of their service.
+
+        Parameters
+        ----------
+        domains : iterable of str
+        warmup_of : callable
+            ``warmup_of(service)`` is the duration of a cold start in milliseconds.
         """
         returned = self.taken_out - frozenset(domains)
         self.taken_out = frozenset(domains)
--- a/src/tarragonramp/fleet_view.py
+++ b/src/tarragonramp/fleet_view.py
@@ -38,10 +38,12 @@
     tables : dict of str to RangeTable
         By service.
     daemons : dict of str to str
-        Addresses of the recently active daemons, by name.
+        Addresses of all daemons that the leader has recently heard from, by name.
     watchers : frozenset of str
         Names of the daemons that this daemon, as leader, has told to follow the store;
         empty if it does not lead.
+    servers_loaded : bool
+        Whether the list of servers has been read.
     work : KeyLoadRecorder
         Load by key of the requests that this daemon sent.
     """
--- a/src/tarragonramp/leadership.py
+++ b/src/tarragonramp/leadership.py
@@ -116,7 +116,8 @@
     in_doubt_until_ms : float
         Until when any of their grants may still take effect.
     ranges : dict of (str, int, int) to float
-        The same by service, first key and token, for grants known to be unanswered.
+        Until when a grant known to be unanswered may still take effect, by service,
+        first key and token.
     """
 
     stopped_ms: float = 0.0
@@ -186,7 +187,15 @@
             self.record, self.version, self._changed_ms = record, version, now_ms
 
     def confirmed(self, record, version, sent_ms):
-        """Record the confirmation of a write of this daemon's record."""
+        """Record that the store has confirmed this daemon's own record.
+
+        Parameters
+        ----------
+        record : LeaderRecord
+        version : int
+        sent_ms : float
+            Read before the write was sent.
+        """
         self.record, self.version, self._changed_ms = record, version, sent_ms
         self._confirmed_ms = sent_ms
         self._has_given_up = False
--- a/src/tarragonramp/roster.py
+++ b/src/tarragonramp/roster.py
@@ -16,7 +16,7 @@
     Parameters
     ----------
     names : tuple of str
-    mark : str
+    digest : str
         Digest of the names.
     """
 
--- a/src/tarragonramp/view.py
+++ b/src/tarragonramp/view.py
@@ -70,6 +70,10 @@
         All changes up to this version have been applied.
     newest : int
         Highest version seen of any object; earlier changes may be missing.
+    config_version : int
+        Highest version seen of an object that operators declare.
+    unreadable : dict of (str, str) to str
+        By kind and name, why the newest version of a declaration is invalid.
     """
 
     version: int = 0
@@ -239,13 +243,13 @@
 
     def is_domain_in_service(self, failure_domain):
         """Tell whether a failure domain is given new work."""
-        order = self.get(KIND_FAILURE_DOMAIN, failure_domain)
-        return order is None or order.state == IN
+        declared = self.get(KIND_FAILURE_DOMAIN, failure_domain)
+        return declared is None or declared.state == IN
 
     def domain_lost(self, failure_domain):
         """Tell whether an operator has declared a failure domain lost."""
-        order = self.get(KIND_FAILURE_DOMAIN, failure_domain)
-        return order is not None and order.state == LOST
+        declared = self.get(KIND_FAILURE_DOMAIN, failure_domain)
+        return declared is not None and declared.state == LOST
 
     def leaving(self, team):
         """Tell whether a team is being deleted."""
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -27,7 +27,7 @@
         """Return the names of usable servers."""
         return {server.name for server in self.directory.usable("desk")}
 
-    def test_draining_and_evacuated_servers_are_not_usable(self):
+    def test_servers_draining_or_in_a_domain_taken_out_are_not_usable(self):
         self.assertEqual(self.usable(), {"s1"})
         self.directory.upsert(attrs.evolve(SERVER, draining=True))
         self.assertEqual(self.usable(), set())
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -52,7 +52,7 @@
         self.assertFalse(self.standing.may_renew(1001.0))
 
     def test_holds_are_limited_to_what_servers_accept(self):
-        """Guards against grants longer than a server accepts, which it would refuse."""
+        """Guards against longer grants; the server would refuse them and own no key."""
         short = LeaseTiming.from_bounds(types.SimpleNamespace(longest_hold_ms=3500.0))
         self.assertEqual(short.hold_ms, 3500.0)
         self.assertLess(2 * short.regrant_ms, short.hold_ms)
--- a/tests/test_view.py
+++ b/tests/test_view.py
@@ -71,7 +71,7 @@
         Two operators change a template and declare its team at the same time, and both
         changes pass the checks.
         """
-        divisor = {"source": "header", "name": "X-Record"}
+        key_source = {"source": "header", "name": "X-Record"}
         assignment = {
             "team": "valley",
             "service": "records",
@@ -79,7 +79,7 @@
             "stewards": {},
             "request_id": "",
         }
-        service = {**SERVICE, "divided_by": divisor}
+        service = {**SERVICE, "divided_by": key_source}
         view = view_of(
             ("Template", "desk", {"services": [service]}),
             ("Team", "valley", {"template": "desk"}),
