--- a/src/tarragonramp/changes.py
+++ b/src/tarragonramp/changes.py
@@ -56,7 +56,13 @@
 
 
 def check_at_daemon(client, declarations):
-    """Let a daemon check declarations against the objects that exist already."""
+    """Let a daemon check declarations against the objects that exist already.
+
+    Raises
+    ------
+    CommandError
+        With all faults that the daemon found.
+    """
     documents = [
         {"kind": item.kind, "name": item.name, "spec": item.spec}
         for item in declarations
@@ -88,7 +94,7 @@
     Raises
     ------
     CommandError
-        Names what was applied and what was not.
+        If a write fails; the message lists what was applied and what was not.
     """
     ordered = sorted(declarations, key=lambda item: APPLY_ORDER.index(item.kind))
     rows = []
@@ -134,7 +140,7 @@
 
 
 def _conflict_error(message, declaration, current):
-    """Return the error of a lost race, with a diff of both versions."""
+    """Return the error for an object changed by someone else, with a diff."""
     spec = declared_spec(current["spec"]) if current else {}
     text = spec_diff(spec, declaration.spec, declaration.label)
     return CommandError(EXIT_CONFLICT, f"{message}\n{text}")
@@ -163,7 +169,10 @@
 
 
 def set_domain_state(client, failure_domain, state, **query):
-    """Set the state of a failure domain; return the old and new state."""
+    """Set the state of a failure domain; return the old and new state and the version.
+
+    ``query`` is sent as query parameters of the write.
+    """
     current = client.find(KIND_FAILURE_DOMAIN, failure_domain)
     version = current["version"] if current else 0
     before = current["spec"].get("state", "in") if current else "in"
--- a/src/tarragonramp/declarations.py
+++ b/src/tarragonramp/declarations.py
@@ -132,7 +132,7 @@
     Parameters
     ----------
     declarations : sequence of Declaration
-    declared : Declared
+    declared : DeclaredObjects
 
     Returns
     -------
@@ -159,7 +159,7 @@
     if faults:
         return faults
     for name in _affected_teams(items, after):
-        index = _faulty_declaration(name, items, after)
+        index = _index_of_declaration(name, items, after)
         faults.extend((index, f) for f in _team_faults(name, items, declared, after))
     return faults
 
@@ -229,7 +229,10 @@
 
 
 def _state_after(declared, items):
-    """Return the declared objects as they would be with all items applied."""
+    """Return the declared objects as they would be with all items applied.
+
+    ``items`` maps kind and name to the index of the declaration and the parsed object.
+    """
     templates, teams = dict(declared.templates), dict(declared.teams)
     for (kind, name), (_, item) in items.items():
         if kind == KIND_TEMPLATE:
@@ -249,7 +252,8 @@
     )
 
 
-def _faulty_declaration(team_name, items, after):
+def _index_of_declaration(team_name, items, after):
+    """Return the index of a team's declaration or, without one, of its template's."""
     key = KIND_TEAM, team_name
     if key not in items:
         key = KIND_TEMPLATE, after.teams[team_name].template
@@ -298,11 +302,11 @@
 
 
 def _unsafe_change_faults(team_name, services, before):
-    """Find changes that would map keys to other slices or shorten a grant.
+    """Find changes that would map keys to other slices or change the length of grants.
 
     Daemons apply a change one after the other. With two numbers of slices in force, two
-    daemons would send the same key to two servers, each the rightful owner of its
-    slice. With two durations of a grant, a new steward would wait for a shorter one
+    daemons would send the same key to two servers, each of which owns the slice that it
+    is sent. With two durations of a grant, a new steward could wait for a shorter grant
     than its predecessor sent.
     """
     faults = []
--- a/src/tarragonramp/manifest.py
+++ b/src/tarragonramp/manifest.py
@@ -13,6 +13,7 @@
 
 GOLDEN_RATIO = 0.6180339887498949
 N_KEYS = 65_536
+"""Number of keys of each divided service."""
 
 
 @attrs.frozen
@@ -23,7 +24,7 @@
     ----------
     service : str
     weight : float
-        Share of the requests, relative to the weights of the other parts.
+        Share of the requests, relative to the weights of the route's other services.
     """
 
     service: str
@@ -37,11 +38,11 @@
     Parameters
     ----------
     host, path_prefix : str
-    parts : tuple of Part
+    parts : tuple of WeightedService
     idempotent : bool
     timeout_ms, target_ms : float
-        Longest time to wait for a response, and the time within which a response has
-        its full value.
+        Longest time to wait for a response, and the target response time: a later
+        response is worth less to the caller.
     attempts : int
         Maximum number of servers that one request may be sent to.
     priority : int
@@ -173,7 +174,8 @@
         ----------
         route : Route
         initial_position : float
-            Start of this process's sequence, so that daemons do not run in step.
+            Where this process's sequence starts, between 0 and 1; it should differ
+            between daemons, so that they do not all choose the same service.
         """
         if len(route.parts) == 1:
             return route.parts[0].service
--- a/src/tarragonramp/model.py
+++ b/src/tarragonramp/model.py
@@ -43,23 +43,28 @@
 """Kinds that daemons follow. The audit trail is left out: it only grows and is read on
 demand."""
 
+# States of a slice.
 OWNED = "owned"
 RELEASING = "releasing"
 UNOWNED = "unowned"
 
+# Declared states of a failure domain.
 IN = "in"
 OUT = "out"
 LOST = "lost"
 
+# A team's setting ``on_silence``.
 HOLD = "hold"
 
 MAX_SLICES = 16_384
 """Maximum number of slices of a service: an assignment fits into one value of the
 platform even if no two neighbouring slices have the same owner."""
 
+# States of a VM in the platform's list.
 LIVE = "live"
 DEPARTED = "departed"
 
+# Conditions of a backend server in its steward's report.
 UP = "up"
 SILENT = "silent"
 UNKNOWN = "unknown"
@@ -121,8 +126,8 @@
     control_address, peer_address : str
         ``ip:port`` for HTTP control and for gRPC.
     unproven : tuple of str
-        Boot ids of earlier processes of this name that may still run, because they had
-        other addresses.
+        Boot ids of earlier processes of this name that may still run: they had other
+        addresses, so that this registration does not prove that they have ended.
     """
 
     name: str
@@ -199,7 +204,8 @@
     n_slices : int
         Number of slices of a divided service.
     slots_per_server, connections_per_server, cold_slots_per_server : int
-        Capacity of a backend server; the last one applies in a cold start.
+        Capacity of a backend server: requests processed at once, open connections, and
+        requests processed at once in a cold start.
     checks_grants : bool
         Whether the backend servers refuse a superseded steward or token.
     grant_ms, renewal_ms : int
@@ -305,7 +311,7 @@
 
 @attrs.frozen
 class FailureDomain:
-    """An operator's order for a failure domain.
+    """The state of a failure domain as declared by an operator.
 
     Parameters
     ----------
