--- a/tests/run.py
+++ b/tests/run.py
@@ -1,7 +1,7 @@
-"""Runs the suite under nose2 and prints the closing line that CI reads.
+"""Runs the suite under nose2 and prints the summary line that CI reads.
 
-Without arguments the test modules are spread over a few processes, since most of their
-time is spent waiting; with arguments, names of tests are run in this process.
+Without arguments, the test modules run in a few parallel processes, since they spend
+most of their time waiting. With arguments, the named tests run in this process.
 """
 
 from gevent import monkey
@@ -21,9 +21,9 @@
 from nose2.main import PluggableTestProgram  # noqa: E402
 from nose2.result import SUBTEST  # noqa: E402
 
-KNOWN_RED_FILE = "KNOWN-RED.txt"
+KNOWN_FAILURES_FILE = "KNOWN-RED.txt"
 N_WORKERS = 3
-COUNTS_LINE = "counts: "
+COUNTS_PREFIX = "counts: "
 
 
 @attrs.define
@@ -35,14 +35,14 @@
     skipped: list = attrs.Factory(list)
 
     def add(self, other):
-        """Take in the counts of another run."""
+        """Add the counts of another run."""
         self.passed += other.passed
         self.failed += other.failed
         self.skipped += other.skipped
 
 
-class CountOutcomes(events.Plugin):
-    """Notes the outcome of each test."""
+class OutcomeCounter(events.Plugin):
+    """A nose2 plugin that records the outcome of each test."""
 
     configSection = "count-outcomes"  # noqa: N815
 
@@ -50,10 +50,11 @@
         self.counts = counts
 
     def testOutcome(self, event):  # noqa: N802
-        """Take in one outcome."""
+        """Record the outcome of a test or failed subtest."""
         name = event.test.id()
         if event.outcome == SUBTEST and event.exc_info is None:
-            # Its test's own outcome follows; nose2 marks it as not expected.
+            # Passed subtests are not counted: nose2 marks them as unexpected, and the
+            # outcome of their test follows.
             return
         if event.outcome == "skipped":
             self.counts.skipped.append(name)
@@ -63,8 +64,8 @@
             self.counts.failed.append(name)
 
 
-def known_red(path=KNOWN_RED_FILE):
-    """Return the names of tests that may fail, each on a line before a comma."""
+def known_failures(path=KNOWN_FAILURES_FILE):
+    """Return the names of tests that may fail: on each line, the text up to a comma."""
     if not os.path.exists(path):
         return []
     with open(path, encoding="utf-8") as stream:
@@ -72,7 +73,7 @@
     return [line.split(",")[0].strip() for line in lines]
 
 
-def run_here(names):
+def run_in_process(names):
     """Run tests in this process.
 
     Parameters
@@ -89,20 +90,20 @@
         module=None,
         argv=["nose2", "--top-level-directory", ".", *names],
         exit=False,
-        extraHooks=[("testOutcome", CountOutcomes(counts))],
+        extraHooks=[("testOutcome", OutcomeCounter(counts))],
     )
     return counts
 
 
-def run_spread(modules):
-    """Run modules in a few processes, the next one whenever a process is free."""
-    counts, waiting = Counts(), list(modules)
+def run_in_parallel(modules):
+    """Run modules in up to ``N_WORKERS`` processes at a time."""
+    counts, pending = Counts(), list(modules)
 
-    def work():
-        while waiting:
-            counts.add(_run_module(waiting.pop(0)))
+    def run_pending():
+        while pending:
+            counts.add(_run_module(pending.pop(0)))
 
-    workers = [threading.Thread(target=work) for _ in range(N_WORKERS)]
+    workers = [threading.Thread(target=run_pending) for _ in range(N_WORKERS)]
     for worker in workers:
         worker.start()
     for worker in workers:
@@ -111,24 +112,24 @@
 
 
 def _run_module(module):
-    began_s = time.monotonic()
-    done = subprocess.run(
+    start_s = time.monotonic()
+    completed = subprocess.run(
         [sys.executable, "-m", "tests.run", "--counted", module],
         stdout=subprocess.PIPE,
         stderr=subprocess.STDOUT,
         text=True,
         check=False,
     )
-    took_s = time.monotonic() - began_s
-    *lines, last = done.stdout.splitlines() or [""]
-    if not last.startswith(COUNTS_LINE):
-        # The process itself died: that is a failure, and not "no tests".
-        print(done.stdout)
-        return Counts(failed=[f"{module} ended with {done.returncode}"])
-    counts = Counts(**json.loads(last[len(COUNTS_LINE) :]))
+    duration_s = time.monotonic() - start_s
+    *lines, last = completed.stdout.splitlines() or [""]
+    if not last.startswith(COUNTS_PREFIX):
+        # The process died, which counts as a failure rather than as no tests.
+        print(completed.stdout)
+        return Counts(failed=[f"{module} exited with {completed.returncode}"])
+    counts = Counts(**json.loads(last[len(COUNTS_PREFIX) :]))
     if counts.failed:
         print("\n".join(lines))
-    print(f"{took_s:6.1f} s  {module}: {len(counts.passed)} passed", flush=True)
+    print(f"{duration_s:6.1f} s  {module}: {len(counts.passed)} passed", flush=True)
     return counts
 
 
@@ -140,13 +141,13 @@
 
 
 def main(argv):
-    """Run tests; 0 if none failed but those that are known to."""
+    """Run tests; return 0 if only known failures have failed."""
     if argv and argv[0] == "--counted":
-        counts = run_here(argv[1:])
-        print(COUNTS_LINE + json.dumps(attrs.asdict(counts)))
+        counts = run_in_process(argv[1:])
+        print(COUNTS_PREFIX + json.dumps(attrs.asdict(counts)))
         return 0
-    counts = run_here(argv) if argv else run_spread(test_modules())
-    allowed = known_red()
+    counts = run_in_process(argv) if argv else run_in_parallel(test_modules())
+    allowed = known_failures()
     for name in counts.failed:
         print(f"{'KNOWN RED' if name in allowed else 'FAILED'} {name}")
     skipped = f", {len(counts.skipped)} skipped" if counts.skipped else ""
