--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -1,4 +1,7 @@
-"""The rules of who may hold keys in a fleet, each one broken."""
+"""Mutants of the fleet's key ownership rules: each patch breaks one rule.
+
+The tests of the exploration have to detect every one of them.
+"""
 
 import contextlib
 import math
@@ -13,42 +16,42 @@
 
 from .fleet_world import HttpGrants
 
-__all__ = ["MUTANTS", "broken"]
+__all__ = ["MUTANTS", "apply_mutant"]
 
 _grant = HttpGrants.grant
 _post = HttpGrants._post
 _record_outcome = GrantTracker._record_outcome
-_told = Leadership.handle_step_down
-_prove = Mover._prove_release
-_send = relay.Relay.send
+_handle_step_down = Leadership.handle_step_down
+_original_prove_release = Mover._prove_release
+_send_message = relay.Relay.send
 
 
 def _patch(owner, name, replacement):
     return lambda: mock.patch.object(owner, name, replacement)
 
 
-def _released_unasked(self, service, item):
+def _prove_without_asking(self, service, item):
     return "released", ""
 
 
-def _proves_by_half_the_hold(self, service, first, token):
+def _expired_after_half_the_hold(self, service, first, token):
     held = self._state_of(service, first, token)
     return self.clock.now_ms() > held.sent_ms + self.timing.hold_ms / 2
 
 
-def _release_unfenced(self, service, item):
+def _release_without_fence(self, service, item):
     address = self._address(service, item.old_owner)
     return self.grants.release(
         item.old_owner, address, item.first, item.last, item.old_token, 8000.0
     )
 
 
-def _inherit_nothing(self, before, term):
+def _inherit_no_grants(self, before, term):
     return InheritedGrants(-1e9, -1e9)
 
 
-def _step_down_without_doubts(self, term, successor=""):
-    answer = _told(self, term, successor)
+def _step_down_without_in_doubt_grants(self, term, successor=""):
+    answer = _handle_step_down(self, term, successor)
     return {**answer, "doubts": {"all_ms": 0.0, "ranges": []}}
 
 
@@ -56,34 +59,34 @@
     return _grant(self, *arguments)
 
 
-def _send_whatever_its_age(self, message, is_wanted=lambda: True):
-    return _send(self, {**message, "clock_ms": self.clock.now_ms()}, is_wanted)
+def _send_at_any_age(self, message, is_wanted=lambda: True):
+    return _send_message(self, {**message, "clock_ms": self.clock.now_ms()}, is_wanted)
 
 
-def _send_for_whoever_gave_up(self, message, is_wanted):
-    return _send_whatever_its_age(self, message)
+def _send_after_caller_gave_up(self, message, is_wanted):
+    return _send_at_any_age(self, message)
 
 
-def _later_life_is_proof(self, service, item):
+def _later_life_proves_release(self, service, item):
     if self.tracker.has_later_life(item.old_owner, item.old_life):
         return "life ended", ""
-    return _prove(self, service, item)
+    return _original_prove_release(self, service, item)
 
 
-def _note_from_sending(self, held, sent_ms, result):
+def _record_outcome_as_sent(self, held, sent_ms, result):
     _record_outcome(self, held, sent_ms, result)
     held.sent_ms = min(held.sent_ms, sent_ms)
     held.in_doubt_until_ms = -math.inf
 
 
-def _give_before_it_is_written(self, service, item, key):
+def _grant_before_write(self, service, item, key):
     self._release_tasks.pop(key, None)
     proof, handover = self._prove_release(service, item)
     if proof is not None:
         self.tracker.grant(service, item, item.owner, item.token, handover)
 
 
-def _tokens_as_they_were(self, service, items):
+def _leave_tokens_unraised(self, service, items):
     for item in items:
         self.tracker.mark_unsent(service, item)
     return True
@@ -94,61 +97,61 @@
 
 
 MUTANTS = {
-    "released without being asked": _patch(Mover, "_prove_release", _released_unasked),
-    "time proves before the hold has ended": _patch(
-        GrantTracker, "have_expired", _proves_by_half_the_hold
+    "release assumed without asking the server": _patch(
+        Mover, "_prove_release", _prove_without_asking
     ),
-    "no fence before a release": _patch(GrantTracker, "release", _release_unfenced),
-    "a new leader does not wait for the one before": _patch(
-        Leadership, "_inherit", _inherit_nothing
+    "grants count as expired before the hold has ended": _patch(
+        GrantTracker, "have_expired", _expired_after_half_the_hold
     ),
-    "doubts are not handed on": _patch(
-        Leadership, "handle_step_down", _step_down_without_doubts
+    "release without a fence": _patch(GrantTracker, "release", _release_without_fence),
+    "a new leader does not wait for earlier grants": _patch(
+        Leadership, "_inherit", _inherit_no_grants
     ),
-    "a thawed relay sends what it held": lambda: mock.patch.multiple(
-        relay, SEND_WINDOW_MS=1e9, MAX_MESSAGE_AGE_MS=1e9
+    "in-doubt grants are not handed over": _patch(
+        Leadership, "handle_step_down", _step_down_without_in_doubt_grants
     ),
-    "a relay sends a message of any age": _patch(
-        relay.Relay, "send", _send_whatever_its_age
+    "a resumed relay sends delayed renewals": lambda: mock.patch.multiple(
+        relay, SEND_WINDOW_MS=1e9, MAX_MESSAGE_AGE_MS=1e9
     ),
-    "a relay sends for a leader that has given up": _patch(
-        relay.Relay, "send", _send_for_whoever_gave_up
+    "a relay sends a message of any age": _patch(relay.Relay, "send", _send_at_any_age),
+    "a relay sends for a leader that has timed out": _patch(
+        relay.Relay, "send", _send_after_caller_gave_up
     ),
     "renewals open connections without the store": _patch(
         HttpGrants, "grant", _grant_over_any_connection
     ),
-    "a later life proves the end of the earlier one's grants": _patch(
-        Mover, "_prove_release", _later_life_is_proof
+    "a restart proves that earlier grants have ended": _patch(
+        Mover, "_prove_release", _later_life_proves_release
     ),
-    "a grant without an answer is not in doubt": _patch(
-        GrantTracker, "_record_outcome", _note_from_sending
+    "a grant without a response is not in doubt": _patch(
+        GrantTracker, "_record_outcome", _record_outcome_as_sent
     ),
-    "granted before the store says that the keys are free": _patch(
-        Mover, "_release_range", _give_before_it_is_written
+    "granted before the release is written to the store": _patch(
+        Mover, "_release_range", _grant_before_write
     ),
-    "a first connection carries the token that was sent before": _patch(
-        Granter, "_raise_tokens", _tokens_as_they_were
+    "tokens are not raised for a new connection": _patch(
+        Granter, "_raise_tokens", _leave_tokens_unraised
     ),
-    "a token goes over a connection that others have opened": _patch(
+    "a token is sent over a connection that has not carried it": _patch(
         HttpGrants, "_post", _post_over_any_open_connection
     ),
-    "a leader moves keys while it is not confirmed": _patch(
+    "an unconfirmed leader moves keys": _patch(
         LeadershipState, "may_move", LeadershipState.may_renew
     ),
-    "a leader renews without an end": _patch(
+    "an unconfirmed leader renews forever": _patch(
         LeadershipState, "may_renew", lambda self, now_ms: self.is_named
     ),
-    "a new leader acts on the table that it knew": _patch(
+    "a new leader acts without reading the range table": _patch(
         Granter, "_ensure_table_read", lambda self, service: True
     ),
-    "a slow clock is not allowed for": _patch(
+    "no allowance for a slow clock": _patch(
         LeaseTiming, "longest_hold_ms", property(lambda self: self.hold_ms * 0.9)
     ),
 }
 
 
 @contextlib.contextmanager
-def broken(name):
-    """Break a rule for a while."""
+def apply_mutant(name):
+    """Apply a mutant while the context is entered."""
     with MUTANTS[name]():
         yield
--- a/tests/fleet_world.py
+++ b/tests/fleet_world.py
@@ -1,7 +1,7 @@
-"""A small fleet around the code that gives keys to servers, on simulated time.
+"""Deterministic simulation of a small fleet that assigns keys to backend servers.
 
-Time, messages, the store and the servers are imitated here. Who leads, grants,
-renewals, fences, moves and relays are the package's own code.
+Time, messages, the store and the backend servers are simulated here. Leader election,
+grants, renewals, fencing tokens, range moves and relays are the package's own code.
 """
 
 import collections
@@ -38,7 +38,7 @@
 from tarragonramp.model import Stored
 from tarragonramp.roles import granter, grants, leadership, mover, relay, tasks
 
-from .ownership_world import BrokenPromiseError
+from .ownership_world import InvariantViolationError
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), os.pardir, "platform"))
 
@@ -46,41 +46,41 @@
 
 __all__ = [
     "FAULTS",
-    "STORIES",
+    "SCENARIOS",
     "HttpGrants",
+    "Simulation",
     "Store",
-    "World",
+    "run_scenario",
     "run_seed",
-    "run_story",
     "simulated",
 ]
 
 SERVICE = "parts"
-LOOK_MS, LIST_MS, BEAT_MS, LAPSE_MS = 500.0, 300.0, 300.0, 2000.0
-STORE_TIMEOUT_MS, CONNECT_MS = 800.0, 700.0
-LATEST_ORDER_MS, LISTENING_MS = 12_000.0, 50.0
+RECORD_CHECK_MS, STORE_POLL_MS, HEARTBEAT_MS, EXPIRY_MS = 500.0, 300.0, 300.0, 2000.0
+STORE_TIMEOUT_MS, CONNECT_TIMEOUT_MS = 800.0, 700.0
+MAX_DELIVERY_DELAY_MS, STARTUP_MS = 12_000.0, 50.0
 SETTLING_MS, RECOVERY_MS = 6000.0, 60_000.0
-GENERATIONS = 12
+YIELDS_PER_EVENT = 12
 DAEMONS = {"d0": "a", "d1": "a", "d2": "b", "d3": "b"}
 SERVERS = {"s0": "a", "s1": "a", "s2": "b"}
 
 
 @attrs.define(eq=False)
 class Process:
-    """A process, which may freeze, end and start again."""
+    """A process that may be paused or restarted; ``boot`` counts its starts."""
 
     name: str
     domain: str
     boot: int = 1
-    frozen: bool = False
+    paused: bool = False
     running: bool = True
     buffer: list = attrs.Factory(list)
     tasks: list = attrs.Factory(list)
 
 
 @attrs.define(eq=False)
-class Timeline:
-    """Simulated time; what a frozen process would do waits until it thaws."""
+class Scheduler:
+    """Runs actions in simulated time; those of paused processes wait until resumed."""
 
     now_ms: float = 0.0
     failures: list = attrs.Factory(list)
@@ -88,21 +88,21 @@
     _count: int = 0
 
     def after(self, delay_ms, action, process=None):
-        """Do something later, in a process if one is given and still there."""
+        """Schedule an action; it is dropped if its process has ended by then."""
         self._count += 1
         boot = process.boot if process else 0
         entry = (self.now_ms + delay_ms, self._count, process, boot, action)
         heapq.heappush(self._queue, entry)
 
     def sleep(self, seconds):
-        """Let the calling greenlet wait, as ``gevent.sleep`` does."""
+        """Suspend the calling greenlet, as ``gevent.sleep`` does."""
         woken = Event()
-        self.after(seconds * 1000.0, woken.set, _own_process())
+        self.after(seconds * 1000.0, woken.set, _current_process())
         woken.wait()
 
     def spawn(self, task, *arguments):
-        """Start a greenlet in the calling one's process, as ``gevent.spawn`` does."""
-        return self.spawn_in(_own_process(), task, *arguments)
+        """Start a greenlet in the caller's process, as ``gevent.spawn`` does."""
+        return self.spawn_in(_current_process(), task, *arguments)
 
     def spawn_in(self, process, task, *arguments):
         """Start a greenlet in a process."""
@@ -113,72 +113,72 @@
         return greenlet
 
     def run(self, for_ms):
-        """Let time pass."""
+        """Run all actions that are due within a period of simulated time."""
         until_ms = self.now_ms + for_ms
         while self._queue and self._queue[0][0] <= until_ms:
             self.now_ms, _, process, boot, action = heapq.heappop(self._queue)
             if process is not None and (process.boot != boot or not process.running):
                 continue
-            if process is not None and process.frozen:
+            if process is not None and process.paused:
                 process.buffer.append((boot, action))
                 continue
             action()
-            # Wakes whatever the action has set off, and what that sets off in turn.
-            for _ in range(GENERATIONS):
+            # Lets the greenlets run that the action has woken, and those they wake.
+            for _ in range(YIELDS_PER_EVENT):
                 gevent.sleep(0)
             if self.failures:
                 raise self.failures[0]
         self.now_ms = until_ms
 
-    def thaw(self, process):
-        """Let a process go on with what has waited for it."""
-        process.frozen = False
+    def resume(self, process):
+        """Resume a process and schedule the actions that waited for it."""
+        process.paused = False
         waiting, process.buffer = process.buffer, []
         for boot, action in waiting:
             if boot == process.boot:
                 self.after(0.0, action, process)
 
 
-def _own_process():
+def _current_process():
     return gevent.getcurrent().process
 
 
-class TimedEvent:
-    """An event whose waits end by simulated time."""
+class SimulatedEvent:
+    """An event whose wait times out in simulated time."""
 
-    def __init__(self, timeline):
-        self._timeline, self._event = timeline, Event()
+    def __init__(self, scheduler):
+        self._scheduler, self._event = scheduler, Event()
         self.set, self.clear = self._event.set, self._event.clear
 
     def wait(self, timeout_s):
-        """Wait until it is set, or for a time; tell whether it is set."""
+        """Wait until the event is set or the time is over; return whether it is set."""
         woken = Event()
         self._event.rawlink(lambda event: woken.set())
-        self._timeline.after(timeout_s * 1000.0, woken.set, _own_process())
+        self._scheduler.after(timeout_s * 1000.0, woken.set, _current_process())
         woken.wait()
         return self._event.is_set()
 
 
 @attrs.define(eq=False)
 class ProcessClock(Clock):
-    """A process's clock: it goes on while the process is frozen."""
+    """A process's clock, which keeps running while the process is paused."""
 
-    timeline: Timeline
+    scheduler: Scheduler
     offset_ms: float
 
     def now_ms(self):
-        """Return the reading."""
-        return self.timeline.now_ms + self.offset_ms
+        """Return the time that this clock shows."""
+        return self.scheduler.now_ms + self.offset_ms
 
 
 @attrs.define
-class Order:
-    """A grant or a release on its way to a server."""
+class ServerRequest:
+    """A grant or release request on its way to a backend server."""
 
     is_grant: bool
     fields: dict
     arrived_ms: float = 0.0
-    is_compared: bool = False
+    is_token_checked: bool = False
 
     @property
     def first(self):
@@ -197,51 +197,51 @@
 
     @property
     def hold_ms(self):
-        """What a grant is given for."""
+        """How long the grant lasts."""
         return float(self.fields["hold_time"].removesuffix("ms"))
 
 
 @attrs.define(eq=False)
 class Server(Process):
-    """A backend server: what it has seen and holds is one life's."""
+    """A backend server; a restart clears the tokens it has seen and its grants."""
 
     life: int = 1
-    rate: float = 1.0
+    clock_rate: float = 1.0
     draining: bool = False
-    late: float = 0.0
-    seen: dict = attrs.Factory(dict)
-    holds: dict = attrs.Factory(dict)
+    delay_probability: float = 0.0
+    seen_tokens: dict = attrs.Factory(dict)
+    granted_ranges: dict = attrs.Factory(dict)
 
     @property
     def address(self):
-        """Where it listens, in each of its lives."""
+        """Address it listens on, the same after a restart."""
         return f"{self.name}:80"
 
     def overlapping(self, first, last):
-        """Return the pieces of its holds that share keys with a range."""
-        return [k for k in self.holds if k[0] <= last and k[1] >= first]
+        """Return its granted ranges that overlap a range."""
+        return [k for k in self.granted_ranges if k[0] <= last and k[1] >= first]
 
-    def is_overtaken(self, order):
-        """Tell whether a higher token has been seen on one of an order's keys."""
+    def is_overtaken(self, request):
+        """Return whether a higher token was seen for one of the request's keys."""
         return any(
-            seen > order.token
-            for (first, last), seen in self.seen.items()
-            if first <= order.last and last >= order.first
+            token > request.token
+            for (first, last), token in self.seen_tokens.items()
+            if first <= request.last and last >= request.first
         )
 
-    def is_held(self, piece, now_ms):
-        """Tell whether a piece is held still, by the server's own clock."""
-        began_ms, hold_ms, _ = self.holds[piece]
-        return self.running and (now_ms - began_ms) * self.rate < hold_ms
+    def is_held(self, key_range, now_ms):
+        """Return whether the grant of a range is still valid by the server's clock."""
+        began_ms, hold_ms, _ = self.granted_ranges[key_range]
+        return self.running and (now_ms - began_ms) * self.clock_rate < hold_ms
 
 
 class Daemon:
-    """One life of a daemon: the package's code and its ways to others."""
+    """A daemon process: the package's code with simulated store, peers and servers."""
 
-    def __init__(self, world, process):
-        self.world, self.process = world, process
-        draw = world.random.uniform
-        self.clock = ProcessClock(world.timeline, draw(0, 1e7))
+    def __init__(self, simulation, process):
+        self.simulation, self.process = simulation, process
+        draw = simulation.random.uniform
+        self.clock = ProcessClock(simulation.scheduler, draw(0, 1e7))
         self.view = FleetView(self.clock)
         services = {SERVICE: FleetService(SERVICE, divided=True)}
         self.view.update_routes(RouteTable(Manifest(1, (), services)))
@@ -268,46 +268,49 @@
             self.clock,
             relay.RelayPool(self.view, self.leadership, self, self.clock),
         )
-        self.granter._wake_up = TimedEvent(world.timeline)
-        self.granter._rng = random.Random(world.random.random())
+        self.granter._wake_up = SimulatedEvent(simulation.scheduler)
+        self.granter._rng = random.Random(simulation.random.random())
         self.leadership.in_doubt_grants = self.granter.tracker.in_doubt_grants
-        for task in (self.lead, self.read_lists, self.granter.run):
-            world.timeline.spawn_in(process, task)
+        for task in (self.run_leadership, self.poll_store, self.granter.run):
+            simulation.scheduler.spawn_in(process, task)
 
     def pool(self, address):
-        """Return the connections to a server."""
-        return self.pools.setdefault(address, Connections(self, address))
+        """Return the connection pool of a backend server."""
+        return self.pools.setdefault(address, ConnectionPool(self, address))
 
-    def lead(self):
-        """Keep the leader's record, or look at it."""
+    def run_leadership(self):
+        """Renew the leader's record while leading, otherwise check it."""
         while True:
             if self.leadership.standing.is_named:
                 self.leadership._renew_record()
                 pause_ms = self.leadership.timing.renew_ms
             else:
                 self.leadership._check_record()
-                pause_ms = LOOK_MS * self.world.random.uniform(0.8, 1.2)
-            self.world.timeline.sleep(pause_ms / 1000.0)
+                pause_ms = RECORD_CHECK_MS * self.simulation.random.uniform(0.8, 1.2)
+            self.simulation.scheduler.sleep(pause_ms / 1000.0)
 
-    def read_lists(self):
-        """Follow the store's servers and tables, and hear of the other daemons."""
+    def poll_store(self):
+        """Poll the store for servers and range tables, and record reachable daemons."""
         while True:
-            result = self.world.ask_store(self, self.world.store.snapshot)
-            self.take_lists(result.value_or({}))
-            for name, other in self.world.daemons.items():
-                if self.world.is_open(name, self.process.name) and other.is_up:
+            result = self.simulation.call_store(self, self.simulation.store.snapshot)
+            self.apply_objects(result.value_or({}))
+            for name, other in self.simulation.daemons.items():
+                if (
+                    self.simulation.is_connected(name, self.process.name)
+                    and other.is_up
+                ):
                     self.leadership._record_daemon(name, name)
                     self.leadership._domains[name] = other.process.domain
                     self.leadership.record_clock_reading(name, other.clock.now_ms())
-            self.world.timeline.sleep(LIST_MS / 1000.0)
+            self.simulation.scheduler.sleep(STORE_POLL_MS / 1000.0)
 
     @property
     def is_up(self):
-        """Whether the process runs and is not frozen."""
-        return self.process.running and not self.process.frozen
+        """Whether the process runs and is not paused."""
+        return self.process.running and not self.process.paused
 
-    def take_lists(self, objects):
-        """Take in what was read, unless that is nothing."""
+    def apply_objects(self, objects):
+        """Update the view from a snapshot of the store; an empty one is ignored."""
         listed = {n: s.spec for (kind, n), s in objects.items() if kind == SERVER}
         if not objects:
             return
@@ -321,51 +324,58 @@
         if table is not None and table.version > self.view.table_version(SERVICE):
             self.view.load_stored_table(table)
 
-    # As the store.
+    # Interface of the store adapter.
 
     def get(self, kind, name):
         """Read an object."""
-        result = self.world.ask_store(self, lambda: self.world.store.get(kind, name))
+        result = self.simulation.call_store(
+            self, lambda: self.simulation.store.get(kind, name)
+        )
         return result.bind(lambda found: found)
 
     def put(self, kind, name, spec, expected_version):
-        """Write an object if it is at a version."""
-        put = lambda: self.world.store.put(kind, name, spec, expected_version)
-        return self.world.ask_store(self, put, writes=True).bind(lambda done: done)
+        """Write an object if its current version is the expected one."""
+        put = lambda: self.simulation.store.put(kind, name, spec, expected_version)
+        return self.simulation.call_store(self, put, writes=True).bind(
+            lambda done: done
+        )
 
-    # As the peers.
+    # Interface of the peers adapter.
 
     def step_down(self, address, term, successor):
-        """Tell an earlier leader to stop."""
-        other = self.world.daemons[address]
-        told = lambda: other.leadership.handle_step_down(term, successor)
-        return self.world.ask_daemon(self, other, told, 400.0)
+        """Ask the previous leader to step down."""
+        other = self.simulation.daemons[address]
+        handle = lambda: other.leadership.handle_step_down(term, successor)
+        return self.simulation.call_daemon(self, other, handle, 400.0)
 
     def relay_message(self, address, message, timeout_ms):
-        """Have another daemon renew grants."""
-        other = self.world.daemons[address]
-        # As JSON carries it.
+        """Send another daemon the renewals that it should relay."""
+        other = self.simulation.daemons[address]
+        # Converts tuples and keys as the JSON encoding on the wire does.
         message = json.loads(json.dumps(message))
 
-        until_ms = self.world.timeline.now_ms + timeout_ms
+        until_ms = self.simulation.scheduler.now_ms + timeout_ms
 
         def is_wanted():
-            # Whoever gives up closes the connection, which shows unless it is cut.
-            is_cut = not self.world.is_open(self.process.name, address)
-            return is_cut or self.world.timeline.now_ms <= until_ms
+            # A sender that times out closes the connection; a relay that is
+            # partitioned from it cannot see that.
+            is_partitioned = not self.simulation.is_connected(
+                self.process.name, address
+            )
+            return is_partitioned or self.simulation.scheduler.now_ms <= until_ms
 
         def send():
-            self.world.relaying.add(address)
+            self.simulation.relaying.add(address)
             try:
                 return other.relay.send(message, is_wanted)
             finally:
-                self.world.relaying.discard(address)
+                self.simulation.relaying.discard(address)
 
-        return self.world.ask_daemon(self, other, send, timeout_ms)
+        return self.simulation.call_daemon(self, other, send, timeout_ms)
 
 
 class Peers:
-    """What a daemon's roles reach of other daemons."""
+    """The calls to other daemons that the roles of a daemon make."""
 
     def __init__(self, daemon):
         self.step_down, self.relay = daemon.step_down, daemon.relay_message
@@ -373,15 +383,15 @@
 
 @attrs.define(eq=False)
 class Connection:
-    """One to one life of a server, and the tags that it has carried."""
+    """A connection to one server process, with the tags it has carried."""
 
     boot: int
     tags: set = attrs.Factory(set)
 
 
 @attrs.define(eq=False)
-class Connections:
-    """Connections of one daemon to one server: each to one life of it."""
+class ConnectionPool:
+    """Connections from one daemon to one server; a restart of the server closes all."""
 
     daemon: Daemon
     address: str
@@ -389,12 +399,12 @@
 
     @property
     def server(self):
-        """The server that has the address."""
-        return self.daemon.world.servers[self.address.partition(":")[0]]
+        """Backend server that listens on the address."""
+        return self.daemon.simulation.servers[self.address.partition(":")[0]]
 
     def has_closed_idle(self):
-        """Tell whether the idle connection used next was closed; then all are."""
-        if not self._idle or self._is_live(self._idle[-1]):
+        """Return whether the next idle connection was closed; if so, drop all."""
+        if not self._idle or self._is_open(self._idle[-1]):
             return False
         self.close()
         return True
@@ -406,26 +416,26 @@
     def exchange(
         self, method, target, headers, body, timeout_ms, reuse_only=False, tag=None
     ):
-        """Send an order, as ``HttpPool`` does."""
-        world, server = self.daemon.world, self.server
-        until_ms = world.timeline.now_ms + timeout_ms
+        """Send a grant or release request, as ``HttpPool`` does."""
+        simulation, server = self.daemon.simulation, self.server
+        until_ms = simulation.scheduler.now_ms + timeout_ms
         connection = self._take_idle(tag if reuse_only else None)
         if connection is None and reuse_only:
-            return Failure(NoConnectionError("none is open"))
+            return Failure(NoConnectionError("no open connection"))
         if connection is None:
-            if not world.is_open(self.daemon.process.name, server.name):
-                world.timeline.sleep(CONNECT_MS / 1000.0)
+            if not simulation.is_connected(self.daemon.process.name, server.name):
+                simulation.scheduler.sleep(CONNECT_TIMEOUT_MS / 1000.0)
                 return Failure(NotSentError("not reached"))
-            world.timeline.sleep(world.latency_s())
+            simulation.scheduler.sleep(simulation.latency_s())
             if not server.running:
                 return Failure(NotSentError("refused"))
-            if world.timeline.now_ms > until_ms:
+            if simulation.scheduler.now_ms > until_ms:
                 return Failure(UnansweredError("timed out"))
             connection = Connection(server.boot)
         connection.tags.add(tag)
         boot = connection.boot
-        order = Order(target.endswith("grant"), json.loads(body))
-        result = world.tell_server(self.daemon, server, boot, order, timeout_ms)
+        request = ServerRequest(target.endswith("grant"), json.loads(body))
+        result = simulation.call_server(self.daemon, server, boot, request, timeout_ms)
         if isinstance(result, Success):
             self._idle.append(connection)
         return result
@@ -434,17 +444,17 @@
         for connection in reversed(self._idle.copy()):
             if tag is None or tag in connection.tags:
                 self._idle.remove(connection)
-                if self._is_live(connection):
+                if self._is_open(connection):
                     return connection
         return None
 
-    def _is_live(self, connection):
+    def _is_open(self, connection):
         return self.server.running and self.server.boot == connection.boot
 
 
 @attrs.define(eq=False, slots=False)
 class Store:
-    """Objects under versions."""
+    """Versioned objects with conditional writes."""
 
     objects: dict = attrs.Factory(dict)
     version: int = 0
@@ -459,7 +469,7 @@
         return Success(found) if found else Failure(NotFoundError("none"))
 
     def put(self, kind, name, spec, expected_version):
-        """Write an object if it is at a version."""
+        """Write an object if its current version is the expected one."""
         current = self.objects.get((kind, name))
         if (current.version if current else 0) != expected_version:
             return Failure(ConflictError(expected_version, current))
@@ -469,40 +479,44 @@
         return Success(stored)
 
 
-class World:
+class Simulation:
     """Daemons and servers in two failure domains, and a store.
 
     Parameters
     ----------
     seed : int
-    timeline : Timeline
+    scheduler : Scheduler
     compares_on_arrival : bool, default=False
-        Whether a server looks for a higher token when a late grant arrives, and not
-        when it carries it out.
-    lists_late : bool, default=False
-        Whether entries may be of an earlier life for a beat: after a server has started
-        again, and after the store has come back.
+        Whether a server compares the token of a delayed grant when it arrives rather
+        than when it is executed.
+    stale_entries : bool, default=False
+        Whether the store may list the previous process of a server until the next
+        heartbeat, after the server has restarted or the store has recovered.
     """
 
-    def __init__(self, seed, timeline, compares_on_arrival=False, lists_late=False):
+    def __init__(self, seed, scheduler, compares_on_arrival=False, stale_entries=False):
         self.random = random.Random(seed)
-        self.timeline = timeline
+        self.scheduler = scheduler
         self.compares_on_arrival = compares_on_arrival
-        self.lists_late = lists_late
-        self.store, self.beats = Store(), {}
-        self.failures_before = collections.Counter(tasks.task_failures())
-        self.cuts, self.deaf, self.loss = set(), collections.Counter(), 0.0
+        self.stale_entries = stale_entries
+        self.store, self.last_heartbeat_ms = Store(), {}
+        self.earlier_task_failures = collections.Counter(tasks.task_failures())
+        self.partitions, self.without_store, self.answer_loss = (
+            set(),
+            collections.Counter(),
+            0.0,
+        )
         self.history = collections.defaultdict(list)
         self.relaying, self.moves = set(), 0
         draw = self.random.uniform
         self.servers = {
-            name: Server(name, domain, rate=draw(0.98, 1.0))
+            name: Server(name, domain, clock_rate=draw(0.98, 1.0))
             for name, domain in SERVERS.items()
         }
         self.processes = {n: Process(n, d) for n, d in DAEMONS.items()}
         self.daemons = {n: self.start_daemon(p) for n, p in self.processes.items()}
         self.processes |= self.servers
-        self.beat()
+        self.run_heartbeats()
 
     def start_daemon(self, process):
         """Start a daemon's process."""
@@ -511,115 +525,117 @@
         return daemon
 
     def run(self, for_ms):
-        """Let time pass."""
-        self.timeline.run(for_ms)
+        """Advance simulated time."""
+        self.scheduler.run(for_ms)
 
     def close(self):
-        """End all greenlets."""
+        """Kill all greenlets."""
         gevent.killall([t for p in self.processes.values() for t in p.tasks])
 
     # Messages.
 
     def latency_s(self):
-        """Draw how long a message is under way."""
+        """Draw the transmission time of a message."""
         return self.random.uniform(0.0005, 0.004)
 
-    def is_open(self, one, other):
-        """Tell whether messages pass between two processes."""
-        return frozenset((one, other)) not in self.cuts
+    def is_connected(self, one, other):
+        """Return whether messages pass between two processes."""
+        return frozenset((one, other)) not in self.partitions
 
-    def ask_store(self, daemon, action, writes=False):
-        """Do something at the store; a Success of what it says, or a Failure."""
-        lost = self.random.random() < self.loss
-        if self.deaf[daemon.process.name] or (lost and not writes):
-            self.timeline.sleep(STORE_TIMEOUT_MS / 1000.0)
+    def call_store(self, daemon, action, writes=False):
+        """Run an action at the store; return Success of its result, or Failure."""
+        lost = self.random.random() < self.answer_loss
+        if self.without_store[daemon.process.name] or (lost and not writes):
+            self.scheduler.sleep(STORE_TIMEOUT_MS / 1000.0)
             return Failure(PlatformUnreachableError("no answer"))
         if lost:
-            # It takes effect, perhaps late, and the answer does not come.
-            self.timeline.after(self.random.choice((2.0, 3000.0)), action)
-            self.timeline.sleep(STORE_TIMEOUT_MS / 1000.0)
+            # The write takes effect, possibly late, and its answer is lost.
+            self.scheduler.after(self.random.choice((2.0, 3000.0)), action)
+            self.scheduler.sleep(STORE_TIMEOUT_MS / 1000.0)
             return Failure(PlatformUnreachableError("no answer"))
-        self.timeline.sleep(self.latency_s())
+        self.scheduler.sleep(self.latency_s())
         done = Success(action())
-        self.timeline.sleep(self.latency_s())
+        self.scheduler.sleep(self.latency_s())
         return done
 
-    def ask_daemon(self, daemon, other, action, timeout_ms):
-        """Have another daemon do something; a Success of its answer, or a Failure."""
+    def call_daemon(self, daemon, other, action, timeout_ms):
+        """Run an action at another daemon; return Success of its answer, or Failure."""
         if not other.process.running:
             return Failure(NotSentError("refused"))
-        if not self.is_open(daemon.process.name, other.process.name):
-            self.timeline.sleep(timeout_ms / 1000.0)
+        if not self.is_connected(daemon.process.name, other.process.name):
+            self.scheduler.sleep(timeout_ms / 1000.0)
             return Failure(UnansweredError("no answer"))
-        begin = lambda answer: self.timeline.spawn_in(
+        begin = lambda answer: self.scheduler.spawn_in(
             other.process, lambda: answer(action())
         )
-        return self._await(daemon.process, other.process, begin, timeout_ms)
+        return self._exchange(daemon.process, other.process, begin, timeout_ms)
 
-    def tell_server(self, daemon, server, boot, order, timeout_ms):
-        """Send a server an order, which only the life that is connected gets."""
+    def call_server(self, daemon, server, boot, request, timeout_ms):
+        """Send a request to a server; it is not delivered to a restarted process."""
         if server.boot != boot or not server.running:
             return Failure(UnansweredError("connection closed"))
-        is_open = self.is_open(daemon.process.name, server.name)
-        is_late = self.random.random() < server.late
-        if is_open and not is_late:
-            begin = lambda answer: answer(self.carry_out(server, order))
-            result = self._await(daemon.process, server, begin, timeout_ms)
+        is_connected = self.is_connected(daemon.process.name, server.name)
+        is_late = self.random.random() < server.delay_probability
+        if is_connected and not is_late:
+            begin = lambda answer: answer(self.execute(server, request))
+            result = self._exchange(daemon.process, server, begin, timeout_ms)
             return result.map(lambda status: Response(status, (), b"{}"))
-        if is_open:
-            # Its time counts from here, also if it is carried out much later.
-            order.arrived_ms = self.timeline.now_ms
+        if is_connected:
+            # The hold time counts from arrival, even if the request is executed later.
+            request.arrived_ms = self.scheduler.now_ms
             if self.compares_on_arrival:
-                order.is_compared = not server.is_overtaken(order)
-            delay_ms = self.random.uniform(0, LATEST_ORDER_MS)
-            late = lambda: self.carry_out(server, order)
-            self.timeline.after(delay_ms, late, server)
-        self.timeline.sleep(timeout_ms / 1000.0)
+                request.is_token_checked = not server.is_overtaken(request)
+            delay_ms = self.random.uniform(0, MAX_DELIVERY_DELAY_MS)
+            deliver = lambda: self.execute(server, request)
+            self.scheduler.after(delay_ms, deliver, server)
+        self.scheduler.sleep(timeout_ms / 1000.0)
         return Failure(UnansweredError("no answer"))
 
-    def _await(self, process, target, begin, timeout_ms):
-        """Carry a message to a process and its answer back."""
+    def _exchange(self, process, target, begin, timeout_ms):
+        """Deliver a message to a process and its answer back, within a timeout."""
         answers, done = [], Event()
 
-        def come_back(found):
+        def receive(found):
             answers.append(found)
             done.set()
 
         def answer(found):
             delay_ms = self.latency_s() * 1000.0
-            self.timeline.after(delay_ms, lambda: come_back(found), process)
+            self.scheduler.after(delay_ms, lambda: receive(found), process)
 
-        self.timeline.after(self.latency_s() * 1000.0, lambda: begin(answer), target)
-        self.timeline.after(timeout_ms, done.set, process)
+        self.scheduler.after(self.latency_s() * 1000.0, lambda: begin(answer), target)
+        self.scheduler.after(timeout_ms, done.set, process)
         done.wait()
         return Success(answers[0]) if answers else Failure(UnansweredError("none"))
 
     # Servers.
 
-    def beat(self):
-        """Let each server write its entry, and drop those of the silent ones."""
-        now_ms = self.timeline.now_ms
+    def run_heartbeats(self):
+        """Write the entry of each live server and delete those that have expired."""
+        now_ms = self.scheduler.now_ms
         for server in self.servers.values():
             name = server.name
-            if server.running and not server.frozen and not self.deaf[name]:
+            if server.running and not server.paused and not self.without_store[name]:
                 self.write_entry(server)
                 continue
-            is_lapsed = now_ms - self.beats.get(name, now_ms) > LAPSE_MS
-            if is_lapsed and not self.deaf["store"]:
+            has_expired = now_ms - self.last_heartbeat_ms.get(name, now_ms) > EXPIRY_MS
+            if has_expired and not self.without_store["store"]:
                 self.store.objects.pop((SERVER, name), None)
-        self.timeline.after(BEAT_MS * self.random.uniform(0.9, 1.1), self.beat)
+        self.scheduler.after(
+            HEARTBEAT_MS * self.random.uniform(0.9, 1.1), self.run_heartbeats
+        )
 
     def write_entry(self, server):
-        """Have a server write its entry."""
+        """Write a server's entry to the store if it has changed."""
         name = server.name
-        self.beats[name] = self.timeline.now_ms
+        self.last_heartbeat_ms[name] = self.scheduler.now_ms
         found = self.store.objects.get((SERVER, name))
         if found is None or found.spec != self.entry(server):
             version = found.version if found else 0
             self.store.put(SERVER, name, self.entry(server), version)
 
     def entry(self, server):
-        """Return what a server writes of itself."""
+        """Return the entry with which a server registers."""
         return BackendServer(
             server.name,
             server.life,
@@ -630,26 +646,28 @@
             draining=server.draining,
         )
 
-    def carry_out(self, server, order):
-        """Have a server do what an order says; return the status."""
-        first, last, token = order.first, order.last, order.token
-        if not order.is_grant:
-            for piece in server.overlapping(first, last):
-                del server.holds[piece]
+    def execute(self, server, request):
+        """Execute a request at a server; return the HTTP status."""
+        first, last, token = request.first, request.last, request.token
+        if not request.is_grant:
+            for key_range in server.overlapping(first, last):
+                del server.granted_ranges[key_range]
             return 200
-        if not order.is_compared and server.is_overtaken(order):
+        if not request.is_token_checked and server.is_overtaken(request):
             return 409
-        server.seen[first, last] = max(token, server.seen.get((first, last), 0))
-        arrived_ms = order.arrived_ms or self.timeline.now_ms
-        server.holds[first, last] = arrived_ms, order.hold_ms, token
-        if not server.is_held((first, last), self.timeline.now_ms):
+        server.seen_tokens[first, last] = max(
+            token, server.seen_tokens.get((first, last), 0)
+        )
+        arrived_ms = request.arrived_ms or self.scheduler.now_ms
+        server.granted_ranges[first, last] = arrived_ms, request.hold_ms, token
+        if not server.is_held((first, last), self.scheduler.now_ms):
             return 200
-        self.check(server, first, last, token)
+        self.check_grant(server, first, last, token)
         return 200
 
-    def check(self, server, first, last, token):
-        """Fail if another process holds one of these keys, or had this token."""
-        now_ms = self.timeline.now_ms
+    def check_grant(self, server, first, last, token):
+        """Fail if another process holds a key of the range or had a token as high."""
+        now_ms = self.scheduler.now_ms
         for other in self.servers.values():
             if other is server:
                 continue
@@ -657,46 +675,47 @@
                 p for p in other.overlapping(first, last) if other.is_held(p, now_ms)
             ]
             if held:
-                raise BrokenPromiseError(
-                    f"{now_ms:.0f} ms: {server.name} gets {first} to {last} under"
-                    f" {token}, {other.name} holds {held} {other.holds[held[0]]}"
+                raise InvariantViolationError(
+                    f"{now_ms:.0f} ms: {server.name} was granted {first} to {last}"
+                    f" under {token},"
+                    f" {other.name} holds {held} {other.granted_ranges[held[0]]}"
                 )
         life = server.name, server.boot
         for owner, highest in self.history[first].copy():
             if owner != life and highest >= token:
-                raise BrokenPromiseError(
-                    f"{now_ms:.0f} ms: {life} gets {first} under {token},"
+                raise InvariantViolationError(
+                    f"{now_ms:.0f} ms: {life} was granted {first} under {token},"
                     f" {owner} had {highest}"
                 )
         if not self.history[first] or self.history[first][-1][0] != life:
             self.moves += 1
         self.history[first].append((life, token))
 
-    def unserved(self):
-        """Return the keys, of some, that no server holds."""
-        now_ms = self.timeline.now_ms
+    def unserved_keys(self):
+        """Return those of 64 sample keys that no server holds."""
+        now_ms = self.scheduler.now_ms
         return [
             key
             for key in range(0, N_KEYS, N_KEYS // 64)
             if not any(
-                s.is_held(piece, now_ms)
+                s.is_held(key_range, now_ms)
                 for s in self.servers.values()
-                for piece in s.overlapping(key, key)
+                for key_range in s.overlapping(key, key)
             )
         ]
 
-    # Faults; each returns what ends it.
+    # Faults. Each method returns a function that ends the fault.
 
-    def freeze(self, name):
-        """Stop a process; what arrives waits in its socket buffers."""
+    def pause(self, name):
+        """Pause a process; what arrives meanwhile waits in its socket buffers."""
         process = self.processes[name]
-        process.frozen = True
-        return lambda: self.timeline.thaw(process)
+        process.paused = True
+        return lambda: self.scheduler.resume(process)
 
-    def end(self, name):
+    def kill(self, name):
         """Kill a process."""
         process = self.processes[name]
-        process.running, process.frozen = False, False
+        process.running, process.paused = False, False
         process.boot += 1
         process.buffer = []
         gevent.killall(process.tasks, block=False)
@@ -704,7 +723,7 @@
         return lambda: self.start(name)
 
     def start(self, name):
-        """Start a process again."""
+        """Restart a process unless it runs."""
         process = self.processes[name]
         if process.running:
             return
@@ -712,326 +731,356 @@
             process.running = True
             self.daemons[name] = self.start_daemon(process)
             return
-        process.life = round(self.timeline.now_ms) + 2
-        process.seen, process.holds, process.draining = {}, {}, False
-        if not self.lists_late and not self.deaf[name]:
+        process.life = round(self.scheduler.now_ms) + 2
+        process.seen_tokens, process.granted_ranges, process.draining = {}, {}, False
+        if not self.stale_entries and not self.without_store[name]:
             self.write_entry(process)
-        elif not self.lists_late and not self.deaf["store"]:
+        elif not self.stale_entries and not self.without_store["store"]:
             self.store.objects.pop((SERVER, name), None)
-        self.timeline.after(LISTENING_MS, lambda: setattr(process, "running", True))
+        self.scheduler.after(STARTUP_MS, lambda: setattr(process, "running", True))
 
     def drain(self, name):
-        """Have a server say that it leaves."""
+        """Have a server announce that it is draining."""
         server = self.servers[name]
         server.draining = True
 
-        def return_to_work():
+        def undrain():
             server.draining = False
 
-        return return_to_work
+        return undrain
 
-    def cut(self, one, other):
-        """Let no message pass between two processes."""
+    def partition_pair(self, one, other):
+        """Drop all messages between two processes."""
         pair = frozenset((one, other))
-        self.cuts.add(pair)
-        return lambda: self.cuts.discard(pair)
+        self.partitions.add(pair)
+        return lambda: self.partitions.discard(pair)
 
-    def cut_domain(self, domain):
-        """Cut a failure domain off from the others, not from the store."""
+    def partition_domain(self, domain):
+        """Partition a failure domain from the others, but not from the store."""
         inside = [p.name for p in self.processes.values() if p.domain == domain]
         outside = [p.name for p in self.processes.values() if p.domain != domain]
-        ends = [self.cut(one, other) for one in inside for other in outside]
-        return lambda: [end() for end in ends]
+        undo_actions = [
+            self.partition_pair(one, other) for one in inside for other in outside
+        ]
+        return lambda: [undo() for undo in undo_actions]
 
-    def deafen(self, *names):
+    def cut_off_from_store(self, *names):
         """Cut processes off from the store."""
-        self.deaf.update(names)
-        once = iter([True])
+        self.without_store.update(names)
+        first_call = iter([True])
 
-        def hear():
-            if next(once, False):
-                self.deaf.subtract(names)
+        def reconnect():
+            if next(first_call, False):
+                self.without_store.subtract(names)
             for name in sorted(SERVERS.keys() & set(names)):
-                is_heard = self.servers[name].running and not self.deaf[name]
-                if not self.lists_late and is_heard:
+                can_write = self.servers[name].running and not self.without_store[name]
+                if not self.stale_entries and can_write:
                     self.write_entry(self.servers[name])
 
-        return hear
+        return reconnect
 
-    def cut_off(self, name):
-        """Cut a daemon off from the store and the other daemons, not from servers."""
-        ends = [self.deafen(name)]
-        ends += [self.cut(name, other) for other in DAEMONS if other != name]
-        return lambda: [end() for end in ends]
+    def isolate(self, name):
+        """Partition a daemon from store and other daemons, but not from servers."""
+        undo_actions = [self.cut_off_from_store(name)]
+        undo_actions += [
+            self.partition_pair(name, other) for other in DAEMONS if other != name
+        ]
+        return lambda: [undo() for undo in undo_actions]
 
-    def lose_answers(self, loss):
-        """Let the store lose a part of its answers."""
-        self.loss = loss
-        return lambda: setattr(self, "loss", 0.0)
+    def lose_store_answers(self, answer_loss):
+        """Lose a fraction of the store's answers."""
+        self.answer_loss = answer_loss
+        return lambda: setattr(self, "answer_loss", 0.0)
 
-    def delay_orders(self, name):
-        """Have a server carry out half of its orders late, without an answer."""
+    def delay_requests(self, name):
+        """Have a server execute half of its requests late and without an answer."""
         server = self.servers[name]
-        server.late = 0.5
-        return lambda: setattr(server, "late", 0.0)
+        server.delay_probability = 0.5
+        return lambda: setattr(server, "delay_probability", 0.0)
 
 
 FAULTS = {
-    "daemon frozen": lambda w, pick: w.freeze(pick(DAEMONS)),
-    "daemon killed": lambda w, pick: w.end(pick(DAEMONS)),
-    "leader frozen": lambda w, pick: w.freeze(leader_of(w) or pick(DAEMONS)),
-    "leader killed": lambda w, pick: w.end(leader_of(w) or pick(DAEMONS)),
-    "leader cut off": lambda w, pick: w.cut_off(leader_of(w) or pick(DAEMONS)),
-    "leader deaf": lambda w, pick: w.deafen(leader_of(w) or pick(DAEMONS)),
-    "server frozen": lambda w, pick: w.freeze(pick(SERVERS)),
-    "server killed": lambda w, pick: w.end(pick(SERVERS)),
+    "daemon paused": lambda w, pick: w.pause(pick(DAEMONS)),
+    "daemon restarted": lambda w, pick: w.kill(pick(DAEMONS)),
+    "leader paused": lambda w, pick: w.pause(leader_of(w) or pick(DAEMONS)),
+    "leader restarted": lambda w, pick: w.kill(leader_of(w) or pick(DAEMONS)),
+    "leader cut off from daemons and store": lambda w, pick: w.isolate(
+        leader_of(w) or pick(DAEMONS)
+    ),
+    "leader cut off from store": lambda w, pick: w.cut_off_from_store(
+        leader_of(w) or pick(DAEMONS)
+    ),
+    "server paused": lambda w, pick: w.pause(pick(SERVERS)),
+    "server restarted": lambda w, pick: w.kill(pick(SERVERS)),
     "server drained": lambda w, pick: w.drain(pick(SERVERS)),
-    "orders late": lambda w, pick: w.delay_orders(pick(SERVERS)),
-    "link cut": lambda w, pick: w.cut(pick(DAEMONS), pick([*DAEMONS, *SERVERS])),
-    "domain cut": lambda w, pick: w.cut_domain(pick("ab")),
-    "store down": lambda w, pick: w.deafen("store", *DAEMONS, *SERVERS),
-    "server deaf": lambda w, pick: w.deafen(pick(SERVERS)),
-    "answers lost": lambda w, pick: w.lose_answers(0.3),
+    "requests delayed": lambda w, pick: w.delay_requests(pick(SERVERS)),
+    "link partitioned": lambda w, pick: w.partition_pair(
+        pick(DAEMONS), pick([*DAEMONS, *SERVERS])
+    ),
+    "domain partitioned": lambda w, pick: w.partition_domain(pick("ab")),
+    "store unavailable": lambda w, pick: w.cut_off_from_store(
+        "store", *DAEMONS, *SERVERS
+    ),
+    "server cut off from store": lambda w, pick: w.cut_off_from_store(pick(SERVERS)),
+    "answers lost": lambda w, pick: w.lose_store_answers(0.3),
 }
 
 
-def leader_of(world):
-    """Return the name of a daemon that leads, or None."""
-    leading = (n for n, d in world.daemons.items() if d.leadership.leads)
+def leader_of(simulation):
+    """Return the name of a daemon that is leader, or None."""
+    leading = (n for n, d in simulation.daemons.items() if d.leadership.leads)
     return next(leading, None)
 
 
 @contextlib.contextmanager
 def simulated(seed, **options):
-    """Make a World, and have the package's roles live in its time."""
-    timeline = Timeline()
-    in_its_time = types.SimpleNamespace(
-        sleep=timeline.sleep, spawn=timeline.spawn, killall=gevent.killall
+    """Create a Simulation and run the package's roles on its simulated time."""
+    scheduler = Scheduler()
+    simulated_gevent = types.SimpleNamespace(
+        sleep=scheduler.sleep, spawn=scheduler.spawn, killall=gevent.killall
     )
-    quiet = lambda *arguments, **fields: None
+    ignore_log = lambda *arguments, **fields: None
     with contextlib.ExitStack() as stack:
         patch = lambda *target: stack.enter_context(mock.patch.object(*target))
         for module in (granter, mover, tasks, leadership):
-            patch(module, "gevent", in_its_time)
+            patch(module, "gevent", simulated_gevent)
         for module in (granter, grants, mover, relay, leadership, tasks):
-            patch(module, "log_event", quiet)
-        # Fewer ranges make the same moves in less time.
+            patch(module, "log_event", ignore_log)
+        # Fewer ranges exercise the same moves in less time.
         patch(range_placement, "RANGES_PER_SERVER", 3)
-        world = World(seed, timeline, **options)
-        stack.callback(world.close)
-        yield world
+        simulation = Simulation(seed, scheduler, **options)
+        stack.callback(simulation.close)
+        yield simulation
 
 
-def _long_cut(world):
-    """Cut the leader off for longer than its grants stay in doubt, then move keys."""
-    leader = leader_of(world)
+def _leader_isolated_for_long(simulation):
+    """Isolate the leader for longer than its grants stay in doubt, then move keys."""
+    leader = leader_of(simulation)
     own = [n for n, domain in SERVERS.items() if domain == DAEMONS[leader]]
-    ends = [world.cut_off(leader)]
-    world.run(28_000)
-    ends.append(world.drain(own[0]))
-    world.run(8000)
-    return ends
-
-
-def _restart_of_a_new_owner(world):
-    """Restart a server while it is about to be given keys, and have it leave."""
-    restart = world.end("s1")
-    ends = [world.drain("s0")]
-    world.run(world.random.uniform(600, 1400))
+    undo_actions = [simulation.isolate(leader)]
+    simulation.run(28_000)
+    undo_actions.append(simulation.drain(own[0]))
+    simulation.run(8000)
+    return undo_actions
+
+
+def _new_owner_restarts(simulation):
+    """Restart a server just before it is granted keys, then drain it."""
+    restart = simulation.kill("s1")
+    undo_actions = [simulation.drain("s0")]
+    simulation.run(simulation.random.uniform(600, 1400))
     restart()
-    world.run(100)
-    ends.append(world.drain("s1"))
-    world.run(4000)
-    return ends
+    simulation.run(100)
+    undo_actions.append(simulation.drain("s1"))
+    simulation.run(4000)
+    return undo_actions
 
 
-def _cut_off_server(world):
-    """Cut a server off from everybody, so that only time proves that it let go."""
-    ends = [world.deafen("s0"), *(world.cut("s0", name) for name in DAEMONS)]
-    world.run(12_000)
-    return ends
+def _server_isolated(simulation):
+    """Isolate a server, so that its keys move only once its grants have expired."""
+    undo_actions = [
+        simulation.cut_off_from_store("s0"),
+        *(simulation.partition_pair("s0", name) for name in DAEMONS),
+    ]
+    simulation.run(12_000)
+    return undo_actions
 
 
-def _move_done_unseen(world):
-    """Kill the leader just after a move that no other daemon has heard of."""
-    leader = leader_of(world)
+def _leader_killed_after_move(simulation):
+    """Kill the leader just after a move that no other daemon has observed."""
+    leader = leader_of(simulation)
     others = [name for name in DAEMONS if name != leader]
-    ends = [world.drain("s0")]
-    n_moves = world.moves
-    while world.moves == n_moves:
-        world.run(5)
-    hear = world.deafen(*others)
-    world.run(world.random.uniform(0, 600))
-    ends.append(world.end(leader))
-    world.run(2000 + world.random.uniform(0, 800))
-    hear()
-    world.run(10_000)
-    return ends
-
-
-def _frozen_relay(world, is_cut=False):
-    """Freeze a relay with renewals in its hands, until nobody fences for them."""
-    while not world.relaying:
-        world.run(1)
-    name = min(world.relaying)
-    thaw = world.freeze(name)
-    ends = [world.cut(name, other) for other in DAEMONS if is_cut and other != name]
-    world.run(22_000)
-    ends += [world.drain(name) for name in ("s0", "s2")][: world.random.randint(1, 2)]
-    world.run(4000)
-    thaw()
-    world.run(4000)
-    return ends
-
-
-def _relay_and_server_cut_off(world):
-    """Freeze a relay with renewals in its hands, and cut it off with its server."""
-    while not world.relaying:
-        world.run(1)
-    name = min(world.relaying)
-    thaw = world.freeze(name)
-    ends = [world.cut_domain(DAEMONS[name])]
-    world.run(world.random.uniform(10_000, 14_000))
-    thaw()
-    world.run(12_000)
-    return ends
-
-
-def _unread_message(world):
-    """Freeze relays before they read a message, and cut their domain off.
-
-    Their leader does not reach the servers by itself.
+    undo_actions = [simulation.drain("s0")]
+    n_moves = simulation.moves
+    while simulation.moves == n_moves:
+        simulation.run(5)
+    reconnect = simulation.cut_off_from_store(*others)
+    simulation.run(simulation.random.uniform(0, 600))
+    undo_actions.append(simulation.kill(leader))
+    simulation.run(2000 + simulation.random.uniform(0, 800))
+    reconnect()
+    simulation.run(10_000)
+    return undo_actions
+
+
+def _relay_paused(simulation, is_partitioned=False):
+    """Pause a relay that is sending renewals until no leader fences them any more."""
+    while not simulation.relaying:
+        simulation.run(1)
+    name = min(simulation.relaying)
+    resume = simulation.pause(name)
+    undo_actions = [
+        simulation.partition_pair(name, other)
+        for other in DAEMONS
+        if is_partitioned and other != name
+    ]
+    simulation.run(22_000)
+    undo_actions += [simulation.drain(name) for name in ("s0", "s2")][
+        : simulation.random.randint(1, 2)
+    ]
+    simulation.run(4000)
+    resume()
+    simulation.run(4000)
+    return undo_actions
+
+
+def _relay_and_server_isolated(simulation):
+    """Pause a relay that is sending renewals and partition it with its server."""
+    while not simulation.relaying:
+        simulation.run(1)
+    name = min(simulation.relaying)
+    resume = simulation.pause(name)
+    undo_actions = [simulation.partition_domain(DAEMONS[name])]
+    simulation.run(simulation.random.uniform(10_000, 14_000))
+    resume()
+    simulation.run(12_000)
+    return undo_actions
+
+
+def _message_unread_by_relays(simulation):
+    """Pause relays before they read a message, then partition their failure domain.
+
+    Their leader cannot reach the servers of that domain directly.
     """
-    while not world.relaying:
-        world.run(1)
-    # The next renewals come while the relays still count as heard.
-    world.run(1200)
-    leader = leader_of(world)
+    while not simulation.relaying:
+        simulation.run(1)
+    # The next renewals are sent while the relays still count as reachable.
+    simulation.run(1200)
+    leader = leader_of(simulation)
     near = DAEMONS[leader]
     far = [name for name, domain in SERVERS.items() if domain != near]
-    ends = [world.cut(leader, name) for name in far]
-    frozen = [name for name, domain in DAEMONS.items() if domain != near]
-    thaws = [world.freeze(name) for name in frozen]
-    world.run(4500)
-    ends.append(world.cut_domain(near))
-    world.run(world.random.uniform(6000, 9000))
-    for thaw in thaws:
-        thaw()
-    world.run(12_000)
-    return ends
-
-
-def _leader_and_servers_cut_off(world):
-    """Cut the leader off from the store, and its failure domain from the others."""
-    leader = leader_of(world)
-    ends = [world.deafen(leader), world.cut_domain(DAEMONS[leader])]
-    world.run(40_000)
-    return ends
-
-
-def _late_orders_of_the_leader_before(world):
-    """Replace the leader, which answers, while a server that leaves is late."""
-    ends = [world.delay_orders("s0")]
-    world.run(world.random.uniform(2000, 5000))
-    ends.append(world.deafen(leader_of(world)))
-    world.run(2400)
-    ends.append(world.drain("s0"))
-    world.run(12_000)
-    return ends
-
-
-def _move_of_a_leader_cut_off(world):
-    """Cut a leader off while it takes keys from a server, which then starts again."""
-    leader = leader_of(world)
+    undo_actions = [simulation.partition_pair(leader, name) for name in far]
+    paused = [name for name, domain in DAEMONS.items() if domain != near]
+    resume_actions = [simulation.pause(name) for name in paused]
+    simulation.run(4500)
+    undo_actions.append(simulation.partition_domain(near))
+    simulation.run(simulation.random.uniform(6000, 9000))
+    for resume in resume_actions:
+        resume()
+    simulation.run(12_000)
+    return undo_actions
+
+
+def _leader_and_servers_isolated(simulation):
+    """Cut the leader off from the store and partition its failure domain."""
+    leader = leader_of(simulation)
+    undo_actions = [
+        simulation.cut_off_from_store(leader),
+        simulation.partition_domain(DAEMONS[leader]),
+    ]
+    simulation.run(40_000)
+    return undo_actions
+
+
+def _leader_replaced_during_delays(simulation):
+    """Replace a reachable leader while a draining server executes requests late."""
+    undo_actions = [simulation.delay_requests("s0")]
+    simulation.run(simulation.random.uniform(2000, 5000))
+    undo_actions.append(simulation.cut_off_from_store(leader_of(simulation)))
+    simulation.run(2400)
+    undo_actions.append(simulation.drain("s0"))
+    simulation.run(12_000)
+    return undo_actions
+
+
+def _leader_isolated_during_move(simulation):
+    """Isolate the leader while a server releases keys, then restart that server."""
+    leader = leader_of(simulation)
     near = next(n for n, domain in SERVERS.items() if domain == DAEMONS[leader])
-    heal = world.cut(leader, near)
-    world.run(3500)
-    ends = [world.drain(near)]
-    world.run(1500)
-    ends.append(world.cut_off(leader))
-    world.run(3500 + world.random.uniform(0, 1000))
-    world.end(near)()
-    world.run(100)
-    heal()
-    world.run(6000)
-    return ends
-
-
-def _restart_between_renewals(world):
-    """Restart a server that the store does not hear, and have keys move to it."""
-    world.run(world.random.uniform(500, 1200))
-    ends = [world.deafen("s1")]
-    world.end("s1")()
-    ends.append(world.drain("s0"))
-    world.run(4000)
-    return ends
-
-
-STORIES = {
-    "a leader is cut off while it takes keys back": _move_of_a_leader_cut_off,
-    "a server starts again between two renewals": _restart_between_renewals,
-    "a relay is cut off together with its server": _relay_and_server_cut_off,
-    "a message lies unread at relays that are cut off": _unread_message,
-    "a leader is cut off together with its servers": _leader_and_servers_cut_off,
-    "the leader changes while orders are late": _late_orders_of_the_leader_before,
-    "a leader is cut off for long": _long_cut,
-    "a server is cut off from everybody": _cut_off_server,
-    "a move is done unseen": _move_done_unseen,
-    "a relay is frozen for long": _frozen_relay,
-    "a relay is frozen and cut off": functools.partial(_frozen_relay, is_cut=True),
-    "a server starts again while keys move to it": _restart_of_a_new_owner,
+    reconnect = simulation.partition_pair(leader, near)
+    simulation.run(3500)
+    undo_actions = [simulation.drain(near)]
+    simulation.run(1500)
+    undo_actions.append(simulation.isolate(leader))
+    simulation.run(3500 + simulation.random.uniform(0, 1000))
+    simulation.kill(near)()
+    simulation.run(100)
+    reconnect()
+    simulation.run(6000)
+    return undo_actions
+
+
+def _server_restarts_between_renewals(simulation):
+    """Restart a server that is cut off from the store, and move keys to it."""
+    simulation.run(simulation.random.uniform(500, 1200))
+    undo_actions = [simulation.cut_off_from_store("s1")]
+    simulation.kill("s1")()
+    undo_actions.append(simulation.drain("s0"))
+    simulation.run(4000)
+    return undo_actions
+
+
+SCENARIOS = {
+    "leader isolated while a server releases keys": _leader_isolated_during_move,
+    "server restarts between two renewals": _server_restarts_between_renewals,
+    "relay partitioned with its server": _relay_and_server_isolated,
+    "message unread by partitioned relays": _message_unread_by_relays,
+    "leader partitioned with its servers": _leader_and_servers_isolated,
+    "leader replaced while requests are delayed": _leader_replaced_during_delays,
+    "leader isolated for long": _leader_isolated_for_long,
+    "server isolated": _server_isolated,
+    "leader killed after an unobserved move": _leader_killed_after_move,
+    "relay paused for long": _relay_paused,
+    "relay paused and partitioned": functools.partial(
+        _relay_paused, is_partitioned=True
+    ),
+    "server restarts while keys move to it": _new_owner_restarts,
 }
 
 
-def run_story(name, seed=0, **options):
-    """Play faults that meet on purpose, then let all of them end; as ``run_seed``."""
-    with simulated(seed, **options) as world:
-        world.run(SETTLING_MS)
-        _recover(world, STORIES[name](world))
-        return world
+def run_scenario(name, seed=0, **options):
+    """Run a scenario of coinciding faults and check recovery, as ``run_seed`` does."""
+    with simulated(seed, **options) as simulation:
+        simulation.run(SETTLING_MS)
+        _recover(simulation, SCENARIOS[name](simulation))
+        return simulation
 
 
 def run_seed(seed, n_faults=14, **options):
-    """Play a schedule of faults, then let all of them end.
+    """Run a random schedule of faults, end all of them and check recovery.
 
     Parameters
     ----------
     seed, n_faults : int
     **options
-        Of the World.
+        Passed to ``Simulation``.
 
     Raises
     ------
-    BrokenPromiseError
-        If two servers held a key, a token did not rise, or a key is not served again.
+    InvariantViolationError
+        If two servers held a key, a token did not rise, or a key stayed unserved.
 
     Returns
     -------
-    world : World
+    simulation : Simulation
     """
-    with simulated(seed, **options) as world:
-        draw = world.random
-        world.run(SETTLING_MS)
-        ends = []
+    with simulated(seed, **options) as simulation:
+        draw = simulation.random
+        simulation.run(SETTLING_MS)
+        undo_actions = []
         for _ in range(n_faults):
             name = draw.choice(sorted(FAULTS))
-            end = FAULTS[name](world, lambda names: draw.choice(sorted(names)))
-            world.timeline.after(draw.choice((300, 2500, 9000, 16_000)), end)
-            ends.append(end)
-            world.run(draw.choice((50, 400, 1500, 4000)))
-        world.run(16_000)
-        _recover(world, ends)
-        return world
-
-
-def _recover(world, ends):
-    """End all faults; fail unless every key is served again."""
-    for end in ends:
-        end()
-    world.run(RECOVERY_MS)
-    failed = collections.Counter(tasks.task_failures()) - world.failures_before
+            undo = FAULTS[name](simulation, lambda names: draw.choice(sorted(names)))
+            simulation.scheduler.after(draw.choice((300, 2500, 9000, 16_000)), undo)
+            undo_actions.append(undo)
+            simulation.run(draw.choice((50, 400, 1500, 4000)))
+        simulation.run(16_000)
+        _recover(simulation, undo_actions)
+        return simulation
+
+
+def _recover(simulation, undo_actions):
+    """End all faults; fail unless every key is served after the recovery time."""
+    for undo in undo_actions:
+        undo()
+    simulation.run(RECOVERY_MS)
+    failed = (
+        collections.Counter(tasks.task_failures()) - simulation.earlier_task_failures
+    )
     if failed:
         raise AssertionError(f"tasks failed: {dict(failed)}")
-    unserved = world.unserved()
-    if unserved:
-        raise BrokenPromiseError(f"no server holds {unserved} after all faults")
+    unserved_keys = simulation.unserved_keys()
+    if unserved_keys:
+        raise InvariantViolationError(
+            f"keys not served after recovery: {unserved_keys}"
+        )
--- a/tests/ownership_mutants.py
+++ b/tests/ownership_mutants.py
@@ -1,6 +1,6 @@
-"""Deliberate faults in the ownership rules; the exploration has to see each of them.
+"""Mutants of the ownership rules: each patch breaks one rule of the package.
 
-Each is a context manager that breaks one rule of the package while it is entered.
+The tests of the exploration have to detect every one of them.
 """
 
 import contextlib
@@ -24,35 +24,35 @@
     return lambda: mock.patch.object(owner, name, replacement)
 
 
-def _use_new_successor_only(self):
+def _confirm_by_new_successor_only(self):
     named = self.successor if self.pending is None else self.pending.term.successor
     if named in self._confirmations_ms:
         self._extend(self._confirmations_ms[named])
 
 
-def _update_forgets_the_one_in_doubt(self, *arguments, **named):
+def _drop_update_in_doubt(self, *arguments, **named):
     self.pending = None
     return _begin_update(self, *arguments, **named)
 
 
-def _word_still_given(self, term, *arguments):
+def _confirm_while_claiming(self, term, *arguments):
     write = _claim(self, term, *arguments)
     self._revoked.clear()
     return write
 
 
-def _released_by_silence(self, slice_index, now_ms):
+def _released_after_silence(self, slice_index, now_ms):
     if self._reading is None or now_ms - self._reading.arrived_ms > 600.0:
         return "silent"
     return _released(self, slice_index, now_ms)
 
 
-def _end_from_sending(self, item):
+def _expires_from_sending(self, item):
     reading = self._reading
     return reading.sent_ms + item.until_ms - reading.clock_ms
 
 
-def _restart_lifts_the_wait(self, answer, sent_ms, arrived_ms):
+def _restart_ends_the_wait(self, answer, sent_ms, arrived_ms):
     restarted = _observe(self, answer, sent_ms, arrived_ms)
     if restarted:
         self.inherited_end_ms = arrived_ms
@@ -65,7 +65,7 @@
     return restarted
 
 
-def _lasts_for_any_process(self, tokens, now_ms, known_process_only=False):
+def _renew_for_any_process(self, tokens, now_ms, known_process_only=False):
     return _next_grant(self, tokens, now_ms)
 
 
@@ -73,64 +73,70 @@
     return member is not None and f"{member.name}#{member.boot_id}" != identity
 
 
-def _registers_late(assignment, server, term, request_id):
+def _never_register(assignment, server, term, request_id):
     return None
 
 
-def _without_proof(self, daemon, server, indexes, version, assignment, closed):
-    closed(indexes)
+def _release_without_proof(
+    self, daemon, server, indexes, version, assignment, on_release
+):
+    on_release(indexes)
 
 
-_World = ownership_world.World
+_Simulation = ownership_world.Simulation
 
 MUTANTS = {
-    "taker's wait left out": _patch(
+    "no wait for earlier rights after a takeover": _patch(
         terms.RoleTerm, "_earlier_right_ends_ms", lambda self, term, now_ms: now_ms
     ),
-    "right counted from the answer's arrival": _patch(
-        _World, "counted_from", lambda self, sent_ms, now_ms: now_ms
+    "right counted from the arrival of the answer": _patch(
+        _Simulation, "right_start_ms", lambda self, sent_ms, now_ms: now_ms
     ),
-    "old successor forgotten on a rename": _patch(
-        terms.HeldTerm, "_apply_confirmations", _use_new_successor_only
+    "previous successor ignored after a change": _patch(
+        terms.HeldTerm, "_apply_confirmations", _confirm_by_new_successor_only
     ),
-    "update in doubt forgotten for a newer one": _patch(
-        terms.HeldTerm, "begin_update", _update_forgets_the_one_in_doubt
+    "update in doubt dropped for a newer one": _patch(
+        terms.HeldTerm, "begin_update", _drop_update_in_doubt
     ),
-    "word given after the takeover began": _patch(
-        terms.RoleTerm, "claim", _word_still_given
+    "confirmation given after the takeover began": _patch(
+        terms.RoleTerm, "claim", _confirm_while_claiming
+    ),
+    "silence accepted as proof of release": _patch(
+        GrantLedger, "released", _released_after_silence
     ),
-    "proof by silence": _patch(GrantLedger, "released", _released_by_silence),
     "expiry counted from sending": _patch(
-        GrantLedger, "_expires_at_ms", _end_from_sending
+        GrantLedger, "_expires_at_ms", _expires_from_sending
     ),
-    "a server's restart lifts the wait for earlier grants": _patch(
-        GrantLedger, "observe", _restart_lifts_the_wait
+    "a server's restart ends the wait for earlier grants": _patch(
+        GrantLedger, "observe", _restart_ends_the_wait
     ),
-    "any acceptance counts while the earlier right runs": _patch(
+    "any accepted grant fences while the earlier right runs": _patch(
         GrantLedger, "observe", _fenced_by_any_acceptance
     ),
-    "renewal without a right for any process of a server": _patch(
-        GrantLedger, "next_grant", _lasts_for_any_process
+    "renewal without a right for an unknown process": _patch(
+        GrantLedger, "next_grant", _renew_for_any_process
     ),
     "new steward grants before it is registered": lambda: mock.patch.multiple(
         assignments,
         may_grant=lambda assignment, server, term: assignment is not None,
-        with_steward_term=_registers_late,
+        with_steward_term=_never_register,
     ),
-    "a shorter setting shortens the wait for longer rights": _patch(
+    "wait for earlier rights taken from the current setting": _patch(
         terms.RoleTerm,
         "_earlier_right_ends_ms",
         lambda self, term, now_ms: now_ms + self.right_ms * terms.RIGHT_MARGIN,
     ),
-    "planner writes the new owner without proof": _patch(_World, "ask", _without_proof),
-    "departed by a registration older than the process": _patch(
+    "new owner written without proof of release": _patch(
+        _Simulation, "request_release", _release_without_proof
+    ),
+    "departure derived from an older registration": _patch(
         terms, "has_departed", _departed_without_versions
     ),
 }
 
 
 @contextlib.contextmanager
-def broken(name):
-    """Break one rule."""
+def apply_mutant(name):
+    """Apply a mutant while the context is entered."""
     with MUTANTS[name]():
         yield
--- a/tests/ownership_world.py
+++ b/tests/ownership_world.py
@@ -1,6 +1,6 @@
-"""A small world of daemons, servers and a platform around the ownership decisions.
+"""Deterministic simulation of daemons, backend servers and a platform.
 
-Only time, messages and the platform are imitated here; terms, grants, proofs and
+Time, messages and the platform are simulated here; terms, grants, proofs of release and
 moves are decided by the package's own state machines.
 """
 
@@ -22,38 +22,38 @@
 N_SLICES = 3
 
 
-class BrokenPromiseError(AssertionError):
-    """A promise of ownership did not hold."""
+class InvariantViolationError(AssertionError):
+    """An invariant of key ownership did not hold."""
 
 
 @attrs.define(eq=False)
 class Process:
-    """A process with a clock of its own, which may freeze and restart."""
+    """A process with its own clock that may be paused and restarted."""
 
     name: str
-    rate: float
+    clock_rate: float
     offset_ms: float
     boot: int = 1
-    frozen: bool = False
+    paused: bool = False
     buffer: list = attrs.Factory(list)
 
     @property
     def boot_id(self):
-        """Name the running process."""
+        """Identifier of the running process, new after each restart."""
         return f"b{self.boot}"
 
 
 @attrs.define(eq=False)
 class Server(Process):
-    """A backend server that refuses superseded stewards."""
+    """A backend server that refuses grants of superseded stewards."""
 
     term: int = 0
     sequence: int = 0
     tokens: dict = attrs.Factory(dict)
     until_ms: float = 0.0
 
-    def take(self, grant):
-        """Accept or refuse a grant."""
+    def accept_grant(self, grant):
+        """Apply a grant; return False if it is refused."""
         offered = (grant.term, grant.sequence)
         if grant.boot_id != self.boot_id or offered < (self.term, self.sequence):
             return False
@@ -61,53 +61,60 @@
         self.tokens, self.until_ms = dict(grant.tokens), grant.until_ms
         return True
 
-    def forget(self):
-        """Start anew."""
+    def reset(self):
+        """Reset the state that a restart loses."""
         self.term, self.sequence, self.tokens, self.until_ms = 0, 0, {}, 0.0
 
 
 @attrs.define(eq=False)
 class Daemon(Process):
-    """What a daemon's process keeps in memory."""
+    """The in-memory state of a daemon process."""
 
     seen: dict = attrs.Factory(dict)
     roles: dict = attrs.Factory(dict)
     ledgers: dict = attrs.Factory(dict)
-    heard_ms: dict = attrs.Factory(dict)
-    missed: collections.Counter = attrs.Factory(collections.Counter)
+    last_heard_ms: dict = attrs.Factory(dict)
+    missed_pings: collections.Counter = attrs.Factory(collections.Counter)
     busy: set = attrs.Factory(set)
     reports: dict = attrs.Factory(dict)
     registered: bool = False
 
     @property
     def identity(self):
-        """Name the running process to others."""
+        """Identity of the running process towards other daemons."""
         return f"{self.name}#{self.boot_id}"
 
-    def forget(self):
-        """Start anew: nothing of a daemon is on a disk."""
-        fresh = Daemon(self.name, self.rate, self.offset_ms)
-        for field in ("seen", "roles", "ledgers", "heard_ms", "missed", "busy"):
+    def reset(self):
+        """Reset all state; a daemon stores nothing on disk."""
+        fresh = Daemon(self.name, self.clock_rate, self.offset_ms)
+        for field in (
+            "seen",
+            "roles",
+            "ledgers",
+            "last_heard_ms",
+            "missed_pings",
+            "busy",
+        ):
             setattr(self, field, getattr(fresh, field))
         self.reports, self.registered = {}, False
 
 
-class World:
-    """Three daemons in two failure domains, two servers, one platform."""
+class Simulation:
+    """Three daemons in two failure domains, two backend servers and a platform."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
-        # The rules must not rest on how the three lengths compare.
+        # The rules must hold whatever the order of these three durations.
         self.right_ms = self.random.choice((500.0, 800.0, 2500.0))
         self.grant_ms = self.random.choice((400.0, 1200.0, 2500.0))
         self.silence_ms = self.random.choice((200.0, 500.0))
         self.now = 0.0
         self.queue = []
         self.n_events = 0
-        self.cuts = set()
-        self.blind = set()
+        self.partitions = set()
+        self.without_watch = set()
         self.platform_mode = "ok"
-        self.loss = 0.0
+        self.message_loss = 0.0
         self.version = 1
         self.objects = {ASSIGNMENT: (1, Assignment("t", "s", (SliceState(),) * 3))}
         self.history = [(0.0, {})]
@@ -124,22 +131,22 @@
         }
         self.processes = {**self.daemons, **self.servers}
         for daemon in self.daemons.values():
-            self.boot(daemon)
+            self.start_daemon(daemon)
 
     # Time and processes.
 
     def clock(self, process):
-        """Read the clock of a process."""
-        return process.offset_ms + process.rate * self.now
+        """Return the time by the clock of a process."""
+        return process.offset_ms + process.clock_rate * self.now
 
     def after(self, process, delay_ms, action):
-        """Run something in a process later, unless that process is gone by then."""
+        """Schedule an action; it is dropped if its process has restarted by then."""
         self.n_events += 1
         due = (self.now + delay_ms, self.n_events, process, process.boot, action)
         heapq.heappush(self.queue, due)
 
     def every(self, process, period_ms, action):
-        """Run something in a process again and again."""
+        """Run an action in a process periodically."""
 
         def again():
             action()
@@ -148,27 +155,27 @@
         self.after(process, self.random.uniform(0, period_ms), again)
 
     def run(self, for_ms):
-        """Let time pass."""
+        """Run all actions due within a period, and check the invariants after each."""
         until = self.now + for_ms
         while self.queue and self.queue[0][0] <= until:
             self.now, _, process, boot, action = heapq.heappop(self.queue)
             if process.boot != boot:
                 continue
-            if process.frozen:
+            if process.paused:
                 process.buffer.append((boot, action))
                 continue
             action()
             self.check()
         self.now = until
 
-    def freeze(self, name):
-        """Stop a process; what arrives stays in its socket buffers."""
-        self.processes[name].frozen = True
+    def pause(self, name):
+        """Pause a process; what arrives meanwhile waits in its socket buffers."""
+        self.processes[name].paused = True
 
-    def thaw(self, name):
-        """Let a process go on: it first meets what is in its buffers."""
+    def resume(self, name):
+        """Resume a process; it processes buffered messages first, in random order."""
         process = self.processes[name]
-        process.frozen = False
+        process.paused = False
         waiting, process.buffer = process.buffer, []
         self.random.shuffle(waiting)
         for boot, action in waiting:
@@ -179,34 +186,34 @@
         """Kill a process and start it again."""
         process = self.processes[name]
         process.boot += 1
-        process.frozen, process.buffer = False, []
-        process.forget()
+        process.paused, process.buffer = False, []
+        process.reset()
         if name in self.daemons:
-            self.boot(process)
+            self.start_daemon(process)
 
     # Messages.
 
     def delay_ms(self):
-        """Draw how long a message is under way, or None if it is lost."""
-        if self.random.random() < self.loss / 2:
+        """Draw the transmission time of a message, or None if the message is lost."""
+        if self.random.random() < self.message_loss / 2:
             return None
-        if self.random.random() < self.loss:
+        if self.random.random() < self.message_loss:
             longest_ms = self.random.choice((120, 120, 2500))
             return self.random.uniform(50, longest_ms)
         return self.random.uniform(0.5, 3)
 
     def send(self, source, target, action):
-        """Carry one message, perhaps late, twice or not at all."""
-        if (source.name, getattr(target, "name", "platform")) in self.cuts:
+        """Deliver a message, possibly late, twice or not at all."""
+        if (source.name, getattr(target, "name", "platform")) in self.partitions:
             return
-        copies = 2 if self.random.random() < self.loss / 2 else 1
+        copies = 2 if self.random.random() < self.message_loss / 2 else 1
         for _ in range(copies):
             delay = self.delay_ms()
             if delay is not None:
                 self.after(target, delay, action)
 
     def call(self, daemon, target, serve, on_answer, on_silence, timeout_ms=TIMEOUT_MS):
-        """Ask another process; an answer after the timeout is never read."""
+        """Call another process; an answer after the timeout is discarded."""
         open_call = [True]
 
         def answer(value):
@@ -229,7 +236,7 @@
     # The platform.
 
     def put(self, daemon, name, spec, expected, on_answer, on_silence):
-        """Send a conditional update; ``on_answer(version, spec)`` shows the result."""
+        """Send a conditional write; ``on_answer`` gets the stored version and spec."""
 
         def serve():
             version, _ = self.objects.get(name, (0, None))
@@ -253,17 +260,17 @@
             self.after(target, self.random.uniform(500, 5000), serve)
             self.after(daemon, PLATFORM_TIMEOUT_MS, on_silence)
             return
-        if self.platform_mode == "swallow":
+        if self.platform_mode == "no answer":
             self.send(daemon, target, serve)
             self.after(daemon, PLATFORM_TIMEOUT_MS, on_silence)
             return
         self.call(daemon, target, serve, on_shown, on_silence, PLATFORM_TIMEOUT_MS)
 
     def watch(self, daemon):
-        """Read all objects, as they were some time ago."""
-        if self.platform_mode == "down" or (daemon.name, "platform") in self.cuts:
+        """Read all objects; in mode "stale" their state may be up to 3 s old."""
+        if self.platform_mode == "down" or (daemon.name, "platform") in self.partitions:
             return
-        if daemon.name in self.blind:
+        if daemon.name in self.without_watch:
             return
         lag_ms = 0.0
         if self.platform_mode == "stale":
@@ -277,25 +284,25 @@
             self.after(daemon, delay, lambda: self.apply(daemon, objects))
 
     def apply(self, daemon, objects):
-        """Take in objects; versions only go up."""
+        """Store newer versions of objects in a daemon's cache."""
         for name, (version, spec) in objects.items():
             if daemon.seen.get(name, (0, None))[0] >= version:
                 continue
             daemon.seen[name] = (version, spec)
 
-    # A daemon, as the roles join the decisions.
+    # A daemon: connects the package's state machines as its roles do.
 
-    def boot(self, daemon):
+    def start_daemon(self, daemon):
         """Start a daemon's tasks."""
         self.every(daemon, WATCH_MS, lambda: self.watch(daemon))
         self.every(daemon, TICK_MS, lambda: self.tick(daemon))
         self.every(daemon, PING_MS, lambda: self.ping(daemon))
         self.every(daemon, PLANNING_MS, lambda: self.plan(daemon))
         for server in self.servers.values():
-            self.every(daemon, RENEWAL_MS, lambda s=server: self.attend(daemon, s))
+            self.every(daemon, RENEWAL_MS, lambda s=server: self.renew_grant(daemon, s))
 
     def register(self, daemon):
-        """Register, as the first thing a daemon does."""
+        """Register the daemon as a member, which precedes all its other work."""
         version, seen = daemon.seen.get(daemon.name, (0, None))
         if seen is not None and seen.boot_id == daemon.boot_id:
             daemon.registered = True
@@ -308,16 +315,16 @@
         self.put(daemon, daemon.name, member, version, free, free)
 
     def tick(self, daemon):
-        """Look after all roles."""
+        """Advance all roles that have no write in progress."""
         if not daemon.registered:
             self.register(daemon)
             return
         for role in (PLANNER, *self.servers):
             if role not in daemon.busy:
-                self.look_after(daemon, role)
+                self.advance_role(daemon, role)
 
     def role(self, daemon, role):
-        """Return a daemon's state of a role, up to date with what it has seen."""
+        """Return a daemon's state of a role, updated from the last term it has seen."""
         state = daemon.roles.get(role)
         if state is None:
             right_ms = self.right_ms * self.random.choice((1, 1, 1.5))
@@ -328,29 +335,29 @@
             state.see(term, version, self.clock(daemon))
         return state
 
-    def look_after(self, daemon, role):
-        """Claim or keep one role."""
+    def advance_role(self, daemon, role):
+        """Claim a role or renew the term that is held."""
         state, now = self.role(daemon, role), self.clock(daemon)
         version, term = daemon.seen.get(role, (0, None))
-        successor, lasting = self.wanted(daemon, role)
+        successor, lasting = self.choose_successor(daemon, role)
         request_id = f"{daemon.identity}-{self.n_events}"
         if state.held is not None:
             write = state.keep(now, successor, lasting, request_id)
         elif state.claiming is None and not self.may_claim(daemon, role, term, version):
             return
         else:
-            word = None
-            gone = self.departed(daemon, term, version)
+            heard_ms = None
+            gone = self.has_departed(daemon, term, version)
             if term is not None and term.holder and not gone:
-                word = daemon.heard_ms.setdefault(term.holder, now)
+                heard_ms = daemon.last_heard_ms.setdefault(term.holder, now)
             grant_ms = self.grant_ms * self.random.choice((1, 1, 1.5))
-            plan = terms.ClaimPlan(successor, lasting, word, grant_ms)
+            plan = terms.ClaimPlan(successor, lasting, heard_ms, grant_ms)
             write = state.claim(term, version, now, plan, request_id)
         if write is not None:
             self.write_term(daemon, state, write)
 
     def write_term(self, daemon, state, write):
-        """Send an update of a term."""
+        """Write a term to the platform."""
         daemon.busy.add(state.role)
         sent_ms = self.clock(daemon)
 
@@ -358,32 +365,35 @@
             daemon.busy.discard(state.role)
             if shown is not None:
                 now = self.clock(daemon)
-                state.see(shown[1], shown[0], now, self.counted_from(sent_ms, now))
+                state.see(shown[1], shown[0], now, self.right_start_ms(sent_ms, now))
 
         free = lambda: daemon.busy.discard(state.role)
         spec, expected = write.term, write.expected_version
         self.put(daemon, state.role, spec, expected, on_answer, free)
 
-    def counted_from(self, sent_ms, now_ms):
-        """Return the moment from which a right is counted."""
+    def right_start_ms(self, sent_ms, now_ms):
+        """Return the time from which the duration of a right is counted."""
         return sent_ms
 
     def may_claim(self, daemon, role, term, version):
-        """Ask the package's rule; outsiders only follow a holder that named them."""
+        """Apply the package's rule.
+
+        A daemon of another failure domain may only claim as the named successor.
+        """
         vacant = term is None or not term.holder
         near = role == PLANNER or DOMAINS[role] == DOMAINS[daemon.name]
         if not near and (vacant or term.successor != daemon.identity):
             return False
         silent = lambda identity: (
             self.clock(daemon)
-            - daemon.heard_ms.setdefault(identity, self.clock(daemon))
+            - daemon.last_heard_ms.setdefault(identity, self.clock(daemon))
             > self.silence_ms
         )
-        gone = lambda identity: self.departed(daemon, term, version)
+        gone = lambda identity: self.has_departed(daemon, term, version)
         return terms.may_claim(term, daemon.identity, gone, silent)
 
-    def departed(self, daemon, term, version):
-        """Ask the package's rule about a term's holder."""
+    def has_departed(self, daemon, term, version):
+        """Return whether a term's holder has departed, by the package's rule."""
         if term is None or not term.holder:
             return False
         member_version, member = daemon.seen.get(
@@ -391,12 +401,12 @@
         )
         return terms.has_departed(term.holder, version, member, member_version)
 
-    def wanted(self, daemon, role):
-        """Choose a successor that seems to be up; an outsider only at need."""
+    def choose_successor(self, daemon, role):
+        """Choose a reachable successor, preferably in the same failure domain."""
         up = []
         for other in self.daemons:
             member = daemon.seen.get(other, (0, None))[1]
-            if other != daemon.name and member and daemon.missed[other] < 2:
+            if other != daemon.name and member and daemon.missed_pings[other] < 2:
                 up.append(f"{other}#{member.boot_id}")
         if role == PLANNER:
             return (up[0] if up else ""), False
@@ -406,7 +416,7 @@
         return (up[0] if up else ""), bool(up)
 
     def ping(self, daemon):
-        """Ask all other daemons for their word."""
+        """Ping all other daemons."""
         for other in self.daemons.values():
             if other is daemon:
                 continue
@@ -414,30 +424,30 @@
             self.call(
                 daemon,
                 other,
-                lambda o=other, me=daemon.identity: self.word(o, me),
-                lambda word, o=other, s=sent_ms: self.on_ping_answer(
-                    daemon, o, word, s
+                lambda o=other, me=daemon.identity: self.answer_ping(o, me),
+                lambda answer, o=other, s=sent_ms: self.on_ping_answer(
+                    daemon, o, answer, s
                 ),
-                lambda o=other: daemon.missed.update([o.name]),
+                lambda o=other: daemon.missed_pings.update([o.name]),
             )
 
-    def word(self, daemon, asker):
-        """Answer a ping."""
-        daemon.heard_ms[asker] = self.clock(daemon)
-        taken = {r: s.revoked_for(asker) for r, s in daemon.roles.items()}
-        return daemon.identity, taken
-
-    def on_ping_answer(self, daemon, other, word, sent_ms):
-        """Use a word for all terms that name the other daemon."""
-        daemon.missed[other.name] = 0
-        identity, taken = word
-        sent_ms = self.counted_from(sent_ms, self.clock(daemon))
+    def answer_ping(self, daemon, asker):
+        """Answer a ping with the identity and the revoked confirmations by role."""
+        daemon.last_heard_ms[asker] = self.clock(daemon)
+        revoked = {r: s.revoked_for(asker) for r, s in daemon.roles.items()}
+        return daemon.identity, revoked
+
+    def on_ping_answer(self, daemon, other, answer, sent_ms):
+        """Apply a ping answer to all terms that name the other daemon as successor."""
+        daemon.missed_pings[other.name] = 0
+        identity, revoked = answer
+        sent_ms = self.right_start_ms(sent_ms, self.clock(daemon))
         for role, state in daemon.roles.items():
-            if state.held is not None and state.held.number > taken.get(role, 0):
+            if state.held is not None and state.held.number > revoked.get(role, 0):
                 state.held.confirmed_by_successor(identity, sent_ms)
 
-    def attend(self, daemon, server):
-        """Renew a server's grant, as its steward."""
+    def renew_grant(self, daemon, server):
+        """Renew a server's grant if the daemon is its steward."""
         state = self.role(daemon, server.name)
         if state.held is None:
             daemon.ledgers.pop(server.name, None)
@@ -445,10 +455,10 @@
         ledger = daemon.ledgers.get(server.name)
         if ledger is None or ledger.term != state.held.number:
             ledger = daemon.ledgers[server.name] = self.new_ledger(state)
-        key = f"attend {server.name}"
+        key = f"renew grant of {server.name}"
         if key in daemon.busy:
             return
-        if not self.registered(daemon, server.name, ledger):
+        if not self.ensure_registered(daemon, server.name, ledger):
             return
         daemon.busy.add(key)
         grant, now = None, self.clock(daemon)
@@ -459,7 +469,7 @@
             grant = ledger.next_grant(tokens, now, known_only)
 
         def serve():
-            accepted = server.take(grant) if grant is not None else True
+            accepted = server.accept_grant(grant) if grant is not None else True
             return ServerAnswer(
                 server.boot_id,
                 self.clock(server),
@@ -485,7 +495,7 @@
         self.call(daemon, server, serve, on_answer, on_silence)
 
     def new_ledger(self, state):
-        """Start to account for a server's grants."""
+        """Create the ledger of a server's grants for the current term."""
         ends_ms = state.earlier_right_ends_ms
         wanted_ms = self.grant_ms * self.random.choice((1, 1, 1.5))
         longest_ms = max(wanted_ms, state.held.longest_grant_ms)
@@ -496,8 +506,8 @@
             state.held.number, state.held.grant_ms(wanted_ms), inherited_ms, ends_ms
         )
 
-    def registered(self, daemon, server, ledger):
-        """Make the assignment show a steward's term."""
+    def ensure_registered(self, daemon, server, ledger):
+        """Record a steward's term in the assignment; return whether it may grant."""
         version, assignment = daemon.seen.get(ASSIGNMENT, (0, None))
         new = assignments.with_steward_term(assignment, server, ledger.term, "r")
         if new is not None and ASSIGNMENT not in daemon.busy:
@@ -507,19 +517,19 @@
         )
 
     def write_assignment(self, daemon, assignment, version):
-        """Send an update of the assignment."""
+        """Write the assignment to the platform."""
         daemon.busy.add(ASSIGNMENT)
         free = lambda *_: daemon.busy.discard(ASSIGNMENT)
         self.put(daemon, ASSIGNMENT, assignment, version, free, free)
 
     def report(self, daemon, server, condition):
-        """Tell whoever plans about a server."""
+        """Report a server's condition to all daemons, as each may be the planner."""
         for other in self.daemons.values():
-            take = lambda o=other: o.reports.update({server: condition})
-            self.send(daemon, other, take)
+            update = lambda o=other: o.reports.update({server: condition})
+            self.send(daemon, other, update)
 
     def plan(self, daemon):
-        """Take the planner's next step."""
+        """Run one planning step if the daemon is the planner."""
         state = self.role(daemon, PLANNER)
         if state.held is None or not state.held.may_act(self.clock(daemon)):
             return
@@ -536,7 +546,7 @@
                 new = attrs.evolve(assignment, slices=slices)
                 self.write_assignment(daemon, new, version)
 
-        def closed(found=()):
+        def on_release(found=()):
             released.update((i, assignment.slices[i].token) for i in found)
             open_calls.pop()
             if not open_calls:
@@ -545,25 +555,29 @@
         asked = assignments.slices_to_release(assignment)
         open_calls.extend([None] * (len(asked) + 1))
         for server, indexes in asked.items():
-            self.ask(daemon, server, indexes, version, assignment, closed)
-        closed()
+            self.request_release(
+                daemon, server, indexes, version, assignment, on_release
+            )
+        on_release()
 
-    def ask(self, daemon, server, indexes, version, assignment, closed):
-        """Ask a server's steward for proof of release."""
+    def request_release(self, daemon, server, indexes, version, assignment, on_release):
+        """Request proof of release from a server's steward."""
         if server not in assignment.stewards:
-            closed(indexes)
+            on_release(indexes)
             return
         _, term = daemon.seen.get(server, (0, None))
         steward = self.daemons.get(term.holder[:2]) if term else None
         if steward is None:
-            closed()
+            on_release()
             return
         number = assignment.stewards[server]
-        serve = lambda: self.prove(steward, server, indexes, version, number)
-        self.call(daemon, steward, serve, closed, closed)
+        serve = lambda: self.answer_release_request(
+            steward, server, indexes, version, number
+        )
+        self.call(daemon, steward, serve, on_release, on_release)
 
-    def prove(self, daemon, server, indexes, version, number):
-        """Answer a planner, as steward."""
+    def answer_release_request(self, daemon, server, indexes, version, number):
+        """Return the slices whose release the daemon can prove as steward."""
         ledger = daemon.ledgers.get(server)
         seen_version, _ = daemon.seen.get(ASSIGNMENT, (0, None))
         if ledger is None or ledger.term != number or seen_version < version:
@@ -583,19 +597,19 @@
             for name in self.servers
         }
 
-    # What must hold.
+    # Invariants.
 
     def fail(self, what):
-        """Stop at a broken promise; the trace tells how it came about."""
-        raise BrokenPromiseError(f"{self.now:.0f}: {what}")
+        """Raise an invariant violation; the trace lists the faults before it."""
+        raise InvariantViolationError(f"{self.now:.0f}: {what}")
 
     def check(self):
-        """Look at the whole world after each event."""
+        """Check the invariants; called after each event."""
         self.check_one_holder()
         self.check_one_owner()
 
     def check_one_holder(self):
-        """Never two holders that each may act and have waited for the one before."""
+        """Check that one daemon at most may act in a role, its wait being over."""
         for role in (PLANNER, *self.servers):
             acting = []
             for daemon in self.daemons.values():
@@ -606,12 +620,12 @@
                 if waited and state.held.may_act(now):
                     acting.append(f"{daemon.identity} in {state.held.number}")
             if len(acting) > 1:
-                raise BrokenPromiseError(
+                raise InvariantViolationError(
                     f"{self.now:.0f}: {role} has two holders: {acting}"
                 )
 
     def check_one_owner(self):
-        """Never two servers willing to execute one slice; no proof is belied."""
+        """Check that a slice has one owner at most and no replaced token is valid."""
         owners = {}
         for server in self.servers.values():
             if self.clock(server) >= server.until_ms:
@@ -622,12 +636,12 @@
                     self.fail(f"slice {index} at {both}")
                 owners[index] = server.name
                 if token <= self.proofs.get((server.name, index), 0):
-                    raise BrokenPromiseError(
-                        f"{self.now:.0f}: {server.name} holds {index} again"
+                    raise InvariantViolationError(
+                        f"{self.now:.0f}: {server.name} holds {index} by an old token"
                     )
 
     def check_assignment(self):
-        """Tokens only go up; a change of owner rests on a proof from now on."""
+        """Check that tokens and terms only rise; record the tokens of moved slices."""
         before = self.history[-2][1].get(ASSIGNMENT, (1, None))[1]
         after = self.objects[ASSIGNMENT][1]
         if before is None:
@@ -643,140 +657,141 @@
                     self.proofs[server, index] = old.token
         for server, number in before.stewards.items():
             if after.stewards.get(server, 0) < number:
-                raise BrokenPromiseError(
+                raise InvariantViolationError(
                     f"{self.now:.0f}: steward term of {server} went down"
                 )
         self.check_one_owner()
 
 
-FAULTS = ("freeze", "thaw", "restart", "cut", "isolate", "blind", "heal")
+FAULTS = ("pause", "resume", "restart", "partition", "isolate", "no watch", "heal")
 FAULTS += ("platform", "loss", "weight")
 PROCESSES = ("d0", "d1", "d2", "s0", "s1")
-MODES = ("ok", "ok", "down", "slow", "swallow", "stale")
+MODES = ("ok", "ok", "down", "slow", "no answer", "stale")
 
 
-def bring_about(world, fault, draw):
-    """Bring about one fault; ``draw(options)`` chooses among options."""
-    world.trace.append(f"{world.now:.0f} {fault}")
-    if fault in ("freeze", "thaw", "restart"):
-        getattr(world, fault)(draw(PROCESSES))
-    elif fault == "cut":
+def inject_fault(simulation, fault, draw):
+    """Inject a fault; ``draw(options)`` chooses among options."""
+    simulation.trace.append(f"{simulation.now:.0f} {fault}")
+    if fault in ("pause", "resume", "restart"):
+        getattr(simulation, fault)(draw(PROCESSES))
+    elif fault == "partition":
         one, other = draw(PROCESSES), draw((*PROCESSES, "platform"))
-        world.cuts.add((one, other))
+        simulation.partitions.add((one, other))
         if draw((True, False)):
-            world.cuts.add((other, one))
+            simulation.partitions.add((other, one))
     elif fault == "isolate":
-        # Cut off from platform and daemons, but not from the servers.
+        # Partitioned from the platform and the daemons, but not from the servers.
         one = draw(("d0", "d1", "d2"))
         others = {"d0", "d1", "d2", "platform"} - {one}
-        world.cuts |= {(one, o) for o in others} | {(o, one) for o in others}
-    elif fault == "blind":
-        world.blind.add(draw(("d0", "d1", "d2")))
+        simulation.partitions |= {(one, o) for o in others} | {(o, one) for o in others}
+    elif fault == "no watch":
+        simulation.without_watch.add(draw(("d0", "d1", "d2")))
     elif fault == "heal":
-        world.cuts.clear()
-        world.blind.clear()
+        simulation.partitions.clear()
+        simulation.without_watch.clear()
     elif fault == "platform":
-        world.platform_mode = draw(MODES)
+        simulation.platform_mode = draw(MODES)
     elif fault == "loss":
-        world.loss = draw((0.0, 0.1, 0.3))
+        simulation.message_loss = draw((0.0, 0.1, 0.3))
     elif fault == "weight":
-        world.weights[draw(("s0", "s1"))] = draw((0.0, 1.0, 1.0))
+        simulation.weights[draw(("s0", "s1"))] = draw((0.0, 1.0, 1.0))
 
 
 def run_seed(seed, n_faults=40):
-    """Run a world under the schedule of faults that a seed stands for."""
-    world = World(seed)
+    """Run a simulation under the random schedule of faults of a seed."""
+    simulation = Simulation(seed)
     chooser = random.Random(f"faults {seed}")
-    world.run(1500)
+    simulation.run(1500)
     for _ in range(n_faults):
-        bring_about(world, chooser.choice(FAULTS), chooser.choice)
-        world.run(chooser.choice((20, 100, 300, 700, 1500)))
-    return world
+        inject_fault(simulation, chooser.choice(FAULTS), chooser.choice)
+        simulation.run(chooser.choice((20, 100, 300, 700, 1500)))
+    return simulation
 
 
-def holder_of(world, role):
-    """Return the name of the daemon that holds a role, or of any."""
-    for name, daemon in world.daemons.items():
+def holder_of(simulation, role):
+    """Return the name of the daemon that holds a role, or "d0" if none does."""
+    for name, daemon in simulation.daemons.items():
         state = daemon.roles.get(role)
         if state is not None and state.held is not None:
             return name
     return "d0"
 
 
-def cut_off(world, name, others):
-    """Cut one process off from others, in both directions."""
+def isolate(simulation, name, others):
+    """Partition a process from others, in both directions."""
     for other in others:
-        world.cuts |= {(name, other), (other, name)}
+        simulation.partitions |= {(name, other), (other, name)}
 
 
-def story_takeover(world, draw):
-    """A steward loses platform and peers; then its server restarts and is emptied."""
+def scenario_takeover(simulation, draw):
+    """Isolate a steward, then restart its server and move all keys away from it."""
     server = draw(("s0", "s1"))
-    old = holder_of(world, server)
-    cut_off(world, old, {"d0", "d1", "d2", "platform"} - {old})
+    old = holder_of(simulation, server)
+    isolate(simulation, old, {"d0", "d1", "d2", "platform"} - {old})
     if draw((True, False)):
-        world.run(draw(range(0, 2500, 50)))
+        simulation.run(draw(range(0, 2500, 50)))
     else:
-        # The new steward has just been accepted when it loses the server.
+        # The new steward loses its server right after the first accepted grant.
         for _ in range(300):
-            world.run(10)
-            ledger = world.daemons[old].ledgers.get(server)
-            if ledger is None or world.servers[server].term > ledger.term:
+            simulation.run(10)
+            ledger = simulation.daemons[old].ledgers.get(server)
+            if ledger is None or simulation.servers[server].term > ledger.term:
                 break
-        cut_off(world, server, {"d0", "d1", "d2"} - {old})
-    world.restart(server)
-    world.run(draw(range(0, 600, 20)))
-    world.weights[server] = 0.0
-    world.run(3000)
+        isolate(simulation, server, {"d0", "d1", "d2"} - {old})
+    simulation.restart(server)
+    simulation.run(draw(range(0, 600, 20)))
+    simulation.weights[server] = 0.0
+    simulation.run(3000)
 
 
-def story_rename(world, draw):
-    """A holder names another successor, and another again, on a slow platform."""
+def scenario_successor_change(simulation, draw):
+    """Have a holder change its successor twice while the platform is slow."""
     role = draw((PLANNER, "s0"))
-    old = holder_of(world, role)
-    world.blind.add(old)
+    old = holder_of(simulation, role)
+    simulation.without_watch.add(old)
     first, second = [n for n in ("d0", "d1", "d2") if n != old]
-    world.platform_mode = "slow"
-    cut_off(world, old, (first,))
-    world.run(draw(range(300, 1500, 50)))
-    world.cuts.clear()
-    cut_off(world, old, (second,))
-    world.run(draw(range(0, 600, 50)))
-    world.platform_mode = draw(("ok", "slow", "down"))
-    world.run(4000)
-    world.platform_mode = "ok"
-    world.run(2500)
-
-
-def story_silence(world, draw):
-    """Messages are slow; then a server freezes or is cut off, and is replaced."""
+    simulation.platform_mode = "slow"
+    isolate(simulation, old, (first,))
+    simulation.run(draw(range(300, 1500, 50)))
+    simulation.partitions.clear()
+    isolate(simulation, old, (second,))
+    simulation.run(draw(range(0, 600, 50)))
+    simulation.platform_mode = draw(("ok", "slow", "down"))
+    simulation.run(4000)
+    simulation.platform_mode = "ok"
+    simulation.run(2500)
+
+
+def scenario_silent_server(simulation, draw):
+    """Delay messages, then pause or isolate a server until it is replaced."""
     server = draw(("s0", "s1"))
-    world.loss = 0.3
-    world.run(draw(range(500, 1500, 50)))
-    world.loss = 0.0
+    simulation.message_loss = 0.3
+    simulation.run(draw(range(500, 1500, 50)))
+    simulation.message_loss = 0.0
     if draw((True, False)):
-        world.freeze(server)
+        simulation.pause(server)
     else:
-        cut_off(world, server, ("d0", "d1", "d2"))
-    world.run(world.grant_ms + 1500)
-    world.thaw(server)
+        isolate(simulation, server, ("d0", "d1", "d2"))
+    simulation.run(simulation.grant_ms + 1500)
+    simulation.resume(server)
 
 
-STORIES = (story_takeover, story_rename, story_silence)
+SCENARIOS = (scenario_takeover, scenario_successor_change, scenario_silent_server)
 
 
-def run_story(seed, n_stories=4):
-    """Run a world through stories in which a seed sets all times."""
-    world = World(seed)
+def run_scenario(seed, n_scenarios=4):
+    """Run scenarios in sequence; the seed chooses them and all their times."""
+    simulation = Simulation(seed)
+    # The text seeds the generator: another one changes all schedules.
     chooser = random.Random(f"stories {seed}")
-    world.run(2500)
-    for _ in range(n_stories):
-        story = chooser.choice(STORIES)
-        world.trace.append(f"{world.now:.0f} {story.__name__}")
-        story(world, chooser.choice)
-        world.cuts.clear()
-        world.blind.clear()
-        world.platform_mode, world.loss = "ok", 0.0
-        world.weights = {"s0": 1.0, "s1": 1.0}
-        world.run(chooser.choice((500, 2500)))
-    return world
+    simulation.run(2500)
+    for _ in range(n_scenarios):
+        scenario = chooser.choice(SCENARIOS)
+        simulation.trace.append(f"{simulation.now:.0f} {scenario.__name__}")
+        scenario(simulation, chooser.choice)
+        simulation.partitions.clear()
+        simulation.without_watch.clear()
+        simulation.platform_mode, simulation.message_loss = "ok", 0.0
+        simulation.weights = {"s0": 1.0, "s1": 1.0}
+        simulation.run(chooser.choice((500, 2500)))
+    return simulation
--- a/tests/test_exploration.py
+++ b/tests/test_exploration.py
@@ -1,4 +1,4 @@
-"""The ownership rules under schedules of faults: see ``ownership_world``."""
+"""Tests of the ownership rules under schedules of faults, in a simulation."""
 
 import unittest
 
@@ -7,52 +7,52 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from .explore_ownership import explore
-from .ownership_mutants import MUTANTS, broken
+from .ownership_mutants import MUTANTS, apply_mutant
 from .ownership_world import (
     FAULTS,
-    BrokenPromiseError,
-    World,
-    bring_about,
+    InvariantViolationError,
+    Simulation,
+    inject_fault,
+    run_scenario,
     run_seed,
-    run_story,
 )
 
 N_SEEDS = 40
 
-CAUGHT_BY = {
-    "taker's wait left out": (run_seed, 0),
-    "right counted from the answer's arrival": (run_seed, 123),
-    "old successor forgotten on a rename": (run_story, 63),
-    "update in doubt forgotten for a newer one": (run_story, 32),
-    "word given after the takeover began": (run_seed, 13),
-    "proof by silence": (run_seed, 1),
-    "expiry counted from sending": (run_story, 16),
-    "a server's restart lifts the wait for earlier grants": (run_story, 17),
-    "any acceptance counts while the earlier right runs": (run_story, 6),
-    "renewal without a right for any process of a server": (run_story, 4),
+DETECTED_BY = {
+    "no wait for earlier rights after a takeover": (run_seed, 0),
+    "right counted from the arrival of the answer": (run_seed, 123),
+    "previous successor ignored after a change": (run_scenario, 63),
+    "update in doubt dropped for a newer one": (run_scenario, 32),
+    "confirmation given after the takeover began": (run_seed, 13),
+    "silence accepted as proof of release": (run_seed, 1),
+    "expiry counted from sending": (run_scenario, 16),
+    "a server's restart ends the wait for earlier grants": (run_scenario, 17),
+    "any accepted grant fences while the earlier right runs": (run_scenario, 6),
+    "renewal without a right for an unknown process": (run_scenario, 4),
     "new steward grants before it is registered": (run_seed, 0),
-    "a shorter setting shortens the wait for longer rights": (run_seed, 3),
-    "planner writes the new owner without proof": (run_seed, 1),
-    "departed by a registration older than the process": (run_seed, 11),
+    "wait for earlier rights taken from the current setting": (run_seed, 3),
+    "new owner written without proof of release": (run_seed, 1),
+    "departure derived from an older registration": (run_seed, 11),
 }
 
 
 class Ownership(RuleBasedStateMachine):
-    """Faults in an order that hypothesis chooses, and shortens when one tells."""
+    """Hypothesis chooses the faults and shrinks a schedule that fails."""
 
     @initialize(seed=st.integers(0, 1000))
     def start(self, seed):
-        """Let the world settle first."""
-        self.world = World(seed)
-        self.world.run(1500)
+        """Start a simulation and let it settle."""
+        self.simulation = Simulation(seed)
+        self.simulation.run(1500)
 
     @rule(fault=st.sampled_from(FAULTS), data=st.data(), ms=st.integers(1, 2000))
-    def break_something(self, fault, data, ms):
-        """Bring about a fault and let time pass; the world checks each event."""
-        bring_about(
-            self.world, fault, lambda options: data.draw(st.sampled_from(options))
+    def inject_a_fault(self, fault, data, ms):
+        """Inject a fault and advance time; the simulation checks each event."""
+        inject_fault(
+            self.simulation, fault, lambda options: data.draw(st.sampled_from(options))
         )
-        self.world.run(ms)
+        self.simulation.run(ms)
 
 
 OwnershipTest = Ownership.TestCase
@@ -62,35 +62,35 @@
 
 
 class SeedsTest(unittest.TestCase):
-    """The fixed seeds of the suite."""
+    """Runs of fixed seeds."""
 
-    def test_no_seed_breaks_a_promise(self):
-        faults = []
-        n_broken, n_moves = explore(0, N_SEEDS, faults.append)
-        self.assertEqual((n_broken, faults), (0, []))
+    def test_no_seed_violates_an_invariant(self):
+        violations = []
+        n_violations, n_moves = explore(0, N_SEEDS, violations.append)
+        self.assertEqual((n_violations, violations), (0, []))
         self.assertGreater(n_moves, N_SEEDS)
 
 
 class MutantsTest(unittest.TestCase):
-    """An exploration that cannot fail proves nothing.
+    """Guards against an exploration that detects no fault.
 
-    Each rule is broken in turn; the same world under the same schedule of faults
-    then shows two holders, two owners or a proof of release that was not true.
+    Each mutant breaks one rule. The schedule that passes without it then has to end
+    with two holders, two owners or a false proof of release.
     """
 
-    def test_every_broken_rule_is_seen(self):
-        self.assertEqual(set(CAUGHT_BY), set(MUTANTS))
-        unseen = [name for name in CAUGHT_BY if not is_seen(name)]
-        self.assertEqual(unseen, [])
+    def test_every_mutant_is_detected(self):
+        self.assertEqual(set(DETECTED_BY), set(MUTANTS))
+        undetected = [name for name in DETECTED_BY if not is_detected(name)]
+        self.assertEqual(undetected, [])
 
 
-def is_seen(name):
-    """Run one schedule under whole rules, and again with one of them broken."""
-    run, seed = CAUGHT_BY[name]
+def is_detected(name):
+    """Run a schedule without and with a mutant; return whether the mutant fails it."""
+    run, seed = DETECTED_BY[name]
     run(seed)
     try:
-        with broken(name):
+        with apply_mutant(name):
             run(seed)
-    except BrokenPromiseError:
+    except InvariantViolationError:
         return True
     return False
--- a/tests/test_fleet_exploration.py
+++ b/tests/test_fleet_exploration.py
@@ -1,4 +1,4 @@
-"""Who may hold keys in a fleet, under schedules of faults: see ``fleet_world``."""
+"""Tests of key ownership in a simulated fleet under schedules of faults."""
 
 import subprocess
 import sys
@@ -10,71 +10,69 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from .explore_ownership import FLEET_RUNS, explore
-from .fleet_mutants import MUTANTS, broken
-from .fleet_world import FAULTS, STORIES, run_seed, run_story, simulated
-from .ownership_world import BrokenPromiseError
+from .fleet_mutants import MUTANTS, apply_mutant
+from .fleet_world import FAULTS, SCENARIOS, run_scenario, run_seed, simulated
+from .ownership_world import InvariantViolationError
 
 N_SEEDS = 25
 
-LATE_LISTS = {"lists_late": True}
+STALE_ENTRIES = {"stale_entries": True}
 
-CAUGHT_BY = {
-    "released without being asked": partial(run_seed, 0),
-    "no fence before a release": partial(
-        run_story, "the leader changes while orders are late"
+DETECTED_BY = {
+    "release assumed without asking the server": partial(run_seed, 0),
+    "release without a fence": partial(
+        run_scenario, "leader replaced while requests are delayed"
     ),
-    "granted before the store says that the keys are free": partial(run_seed, 0),
-    "a first connection carries the token that was sent before": partial(run_seed, 1),
-    "a token goes over a connection that others have opened": partial(
-        run_story, "a server starts again between two renewals", 3, **LATE_LISTS
+    "granted before the release is written to the store": partial(run_seed, 0),
+    "tokens are not raised for a new connection": partial(run_seed, 1),
+    "a token is sent over a connection that has not carried it": partial(
+        run_scenario, "server restarts between two renewals", 3, **STALE_ENTRIES
     ),
-    "a new leader does not wait for the one before": partial(
-        run_story, "a leader is cut off together with its servers"
+    "a new leader does not wait for earlier grants": partial(
+        run_scenario, "leader partitioned with its servers"
     ),
-    "a grant without an answer is not in doubt": partial(run_seed, 24),
+    "a grant without a response is not in doubt": partial(run_seed, 24),
     "renewals open connections without the store": partial(run_seed, 38),
-    "doubts are not handed on": partial(
-        run_story, "the leader changes while orders are late"
+    "in-doubt grants are not handed over": partial(
+        run_scenario, "leader replaced while requests are delayed"
     ),
-    "a leader moves keys while it is not confirmed": partial(
-        run_story, "a leader is cut off while it takes keys back"
+    "an unconfirmed leader moves keys": partial(
+        run_scenario, "leader isolated while a server releases keys"
     ),
-    "a leader renews without an end": partial(
-        run_story, "a leader is cut off together with its servers", 1
+    "an unconfirmed leader renews forever": partial(
+        run_scenario, "leader partitioned with its servers", 1
     ),
-    "a new leader acts on the table that it knew": partial(
-        run_story, "a move is done unseen"
+    "a new leader acts without reading the range table": partial(
+        run_scenario, "leader killed after an unobserved move"
     ),
-    "time proves before the hold has ended": partial(
-        run_story, "a server is cut off from everybody"
+    "grants count as expired before the hold has ended": partial(
+        run_scenario, "server isolated"
     ),
-    "a slow clock is not allowed for": partial(
-        run_story, "a server is cut off from everybody"
-    ),
-    "a relay sends for a leader that has given up": partial(
-        run_story, "a message lies unread at relays that are cut off"
+    "no allowance for a slow clock": partial(run_scenario, "server isolated"),
+    "a relay sends for a leader that has timed out": partial(
+        run_scenario, "message unread by partitioned relays"
     ),
     "a relay sends a message of any age": partial(
-        run_story, "a message lies unread at relays that are cut off"
+        run_scenario, "message unread by partitioned relays"
     ),
-    "a thawed relay sends what it held": partial(
-        run_story, "a relay is cut off together with its server"
+    "a resumed relay sends delayed renewals": partial(
+        run_scenario, "relay partitioned with its server"
     ),
-    "a later life proves the end of the earlier one's grants": partial(
-        run_story, "a server starts again while keys move to it", **LATE_LISTS
+    "a restart proves that earlier grants have ended": partial(
+        run_scenario, "server restarts while keys move to it", **STALE_ENTRIES
     ),
 }
 
 
 class FleetOwnership(RuleBasedStateMachine):
-    """Faults in an order that hypothesis chooses, and shortens when one tells."""
+    """Hypothesis chooses the faults and shrinks a schedule that fails."""
 
     @initialize(seed=st.integers(0, 1000))
     def start(self, seed):
-        """Let the fleet settle first."""
+        """Start a fleet and let it settle."""
         self.simulated = simulated(seed)
-        self.world = self.simulated.__enter__()
-        self.world.run(5000.0)
+        self.simulation = self.simulated.__enter__()
+        self.simulation.run(5000.0)
 
     @rule(
         fault=st.sampled_from(sorted(FAULTS)),
@@ -82,15 +80,15 @@
         ms=st.integers(1, 3000),
         lasts_ms=st.integers(1, 16_000),
     )
-    def break_something(self, fault, data, ms, lasts_ms):
-        """Bring about a fault and let time pass; the world checks each grant."""
+    def inject_a_fault(self, fault, data, ms, lasts_ms):
+        """Inject a fault and advance time; the simulation checks each grant."""
         pick = lambda names: data.draw(st.sampled_from(sorted(names)))
-        end = FAULTS[fault](self.world, pick)
-        self.world.timeline.after(lasts_ms, end)
-        self.world.run(ms)
+        undo = FAULTS[fault](self.simulation, pick)
+        self.simulation.scheduler.after(lasts_ms, undo)
+        self.simulation.run(ms)
 
     def teardown(self):
-        """End the fleet."""
+        """Close the simulation."""
         self.simulated.__exit__(None, None, None)
 
 
@@ -101,54 +99,54 @@
 
 
 class SeedsTest(unittest.TestCase):
-    """The fixed seeds of the suite."""
+    """Runs of fixed seeds and scenarios."""
 
-    def test_no_seed_breaks_a_promise(self):
-        faults = []
-        n_broken, n_moves = explore(0, N_SEEDS, faults.append, FLEET_RUNS)
-        self.assertEqual((n_broken, faults), (0, []))
+    def test_no_seed_violates_an_invariant(self):
+        violations = []
+        n_violations, n_moves = explore(0, N_SEEDS, violations.append, FLEET_RUNS)
+        self.assertEqual((n_violations, violations), (0, []))
         self.assertGreater(n_moves, 10 * N_SEEDS)
 
-    def test_the_command_plays_the_fleet(self):
-        """Guards against an exploration that ends with its first clean schedule."""
+    def test_the_command_explores_the_fleet(self):
+        """Guards against an exploration that ends after its first clean schedule."""
         command = [sys.executable, "-m", "tests.explore_ownership", "--count", "2"]
         done = subprocess.run(command, capture_output=True, text=True, check=False)
         self.assertEqual(done.returncode, 0, done.stdout + done.stderr)
         self.assertIn("6 schedules", done.stdout)
 
-    def test_entries_of_an_earlier_life_break_no_promise(self):
-        """Guards against a restarted server that gets its old token again."""
+    def test_stale_entries_violate_no_invariant(self):
+        """Guards against a restarted server that is granted its old token again."""
         for seed in (1, 33, 59, 117, 132, 153):
             with self.subTest(seed):
-                run_seed(seed, **LATE_LISTS)
+                run_seed(seed, **STALE_ENTRIES)
 
-    def test_no_story_breaks_a_promise(self):
-        for name in STORIES:
+    def test_no_scenario_violates_an_invariant(self):
+        for name in SCENARIOS:
             with self.subTest(name):
-                run_story(name)
-                run_story(name, **LATE_LISTS)
+                run_scenario(name)
+                run_scenario(name, **STALE_ENTRIES)
 
 
 class MutantsTest(unittest.TestCase):
-    """An exploration that cannot fail proves nothing.
+    """Guards against an exploration that detects no fault.
 
-    Each rule is broken in turn; the same fleet under the same schedule of faults then
-    shows two owners, a token that does not rise, or keys that stay unserved.
+    Each mutant breaks one rule. The schedule that passes without it then has to end
+    with two owners, a token that does not rise, or keys that stay unserved.
     """
 
-    def test_every_broken_rule_is_seen(self):
-        self.assertEqual(set(CAUGHT_BY), set(MUTANTS))
-        unseen = [name for name in CAUGHT_BY if not is_seen(name)]
-        self.assertEqual(unseen, [])
+    def test_every_mutant_is_detected(self):
+        self.assertEqual(set(DETECTED_BY), set(MUTANTS))
+        undetected = [name for name in DETECTED_BY if not is_detected(name)]
+        self.assertEqual(undetected, [])
 
 
-def is_seen(name):
-    """Run one schedule under whole rules, and again with one of them broken."""
-    run = CAUGHT_BY[name]
+def is_detected(name):
+    """Run a schedule without and with a mutant; return whether the mutant fails it."""
+    run = DETECTED_BY[name]
     run()
     try:
-        with broken(name):
+        with apply_mutant(name):
             run()
-    except BrokenPromiseError:
+    except InvariantViolationError:
         return True
     return False
