--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,4 @@
-"""Small stand-ins for the systems around tarragonramp, for tests and the demo."""
+"""Test replacements ("stand-ins") for the systems around tarragonramp.
+
+Tests, the demo and the benchmarks run the real daemons against these.
+"""
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -1,7 +1,7 @@
 """A stand-in for a backend server that owns keys under fenced grants.
 
-It writes every execution to a log file, one JSON object a line. One process may
-stand for many backend servers, each with an address of its own.
+Each execution is written to a log file, one JSON object per line. One process can
+serve several backend servers, each at its own address.
 """
 
 from gevent import monkey
@@ -25,14 +25,18 @@
     json_reply,
 )
 
-from .pauses import note_pauses  # noqa: E402
+from .pauses import watch_pauses  # noqa: E402
 
-WORK_STEP_MS = 20.0
-FALLEN_OVER_MS = 1000.0
+CANCELLATION_CHECK_MS = 20.0
+OVERLOAD_STALL_MS = 1000.0
 
 
-def answer_bytes(boot_id, request_id, body):
-    """Return the body that an execution answers with; a checker can recompute it."""
+def response_body(boot_id, request_id, body):
+    """Return the response body of an execution.
+
+    It contains the request id and a digest of the request body, so that callers can
+    verify that they received the response to their own request.
+    """
     digest = hashlib.sha256(body).hexdigest()
     return f"boot={boot_id} request={request_id} body={digest}\n".encode()
 
@@ -48,15 +52,22 @@
     divided : bool
         Whether requests need a grant.
     slots : int
-        Requests executed at once; a few more wait, the rest are shed.
+        Requests executed concurrently. Requests are shed once eight times as many
+        are executing or queued.
     work_ms : float
-        Time an execution takes.
+        Duration of an execution.
     checks : bool, default=True
-        Whether a divided server refuses who has no grant.
+        Whether a divided server refuses requests without a valid grant.
     cold_slots : int
-        Requests in hand that it bears in a cold start; it falls over under more.
+        Requests that may be in flight during a cold start; with more of them every
+        additional request stalls.
     cold_until_ms : float
-        When the cold start ends.
+        End of the cold start on the monotonic clock.
+    in_flight : int
+    cold_excess : int
+        Most requests beyond ``cold_slots`` that were in flight during a cold start.
+    cancelled : list of str
+        Ids of requests that were abandoned or exceeded their deadline.
     """
 
     name: str
@@ -67,7 +78,7 @@
     checks: bool = True
     cold_slots: int = 0
     cold_until_ms: float = 0.0
-    in_hand: int = 0
+    in_flight: int = 0
     cold_excess: int = 0
     boot_id: str = attrs.Factory(lambda: uuid.uuid4().hex[:12])
     term: int = 0
@@ -79,34 +90,36 @@
     _slots: Semaphore = attrs.field(init=False)
 
     def __attrs_post_init__(self):
-        """Make the slots."""
+        """Create the semaphore that limits concurrent executions."""
         self._slots = Semaphore(self.slots)
 
     def __call__(self, environ, start_response):
-        """Serve a control call or a request."""
+        """Handle a control call or a caller's request."""
         path = environ["PATH_INFO"]
         body = environ["wsgi.input"].read()
         if path == "/tarragon/clock":
-            return json_reply(start_response, 200, self._answer())
+            return json_reply(start_response, 200, self._control_payload())
         if path == "/tarragon/grant":
-            accepted = self._take_grant(json.loads(body))
-            return json_reply(start_response, 200 if accepted else 409, self._answer())
+            accepted = self._apply_grant(json.loads(body))
+            return json_reply(
+                start_response, 200 if accepted else 409, self._control_payload()
+            )
         if path == "/standin/cancelled":
             return json_reply(start_response, 200, self.cancelled)
         if path == "/standin/cold":
             self.cold_until_ms = clock_ms() + json.loads(body)["for_ms"]
             return json_reply(start_response, 200, {})
-        self.in_hand += 1
+        self.in_flight += 1
         try:
-            if self.cold and self.in_hand > self.cold_slots:
-                excess = self.in_hand - self.cold_slots
+            if self.cold and self.in_flight > self.cold_slots:
+                excess = self.in_flight - self.cold_slots
                 self.cold_excess = max(self.cold_excess, excess)
-                gevent.sleep(FALLEN_OVER_MS / 1000.0)
+                gevent.sleep(OVERLOAD_STALL_MS / 1000.0)
             return self._serve(environ, body, start_response)
         finally:
-            self.in_hand -= 1
+            self.in_flight -= 1
 
-    def _answer(self):
+    def _control_payload(self):
         return {
             "boot_id": self.boot_id,
             "clock_ms": clock_ms(),
@@ -117,10 +130,10 @@
 
     @property
     def cold(self):
-        """Whether it is in a cold start."""
+        """Whether the server is in a cold start."""
         return clock_ms() < self.cold_until_ms
 
-    def _take_grant(self, grant):
+    def _apply_grant(self, grant):
         offered = (grant["term"], grant["sequence"])
         if grant["boot_id"] != self.boot_id or offered < (self.term, self.sequence):
             return False
@@ -148,15 +161,16 @@
         if not self._owns(environ):
             return _not_run(start_response, 409, "not the owner")
         deadline_ms = float(environ.get("HTTP_TARRAGON_DEADLINE_MS", "inf"))
-        if not self._work(environ, started_ms + deadline_ms):
+        if not self._simulate_work(environ, started_ms + deadline_ms):
             self.cancelled.append(environ.get("HTTP_X_REQUEST_ID", ""))
             return _not_run(start_response, 503, "cancelled or too late")
         if not self._owns(environ):
-            # Nothing was changed yet: the effect and this check are one step.
+            # Logging the execution stands for its effect. No other greenlet runs
+            # between this check and the log entry, so the two are atomic.
             return _not_run(start_response, 409, "no longer the owner")
         request_id = environ.get("HTTP_X_REQUEST_ID", "")
-        self._note(environ, request_id, started_ms)
-        answer = answer_bytes(self.boot_id, request_id, body)
+        self._log_execution(environ, request_id, started_ms)
+        answer = response_body(self.boot_id, request_id, body)
         headers = [
             ("Content-Type", "text/plain"),
             ("Content-Length", str(len(answer))),
@@ -168,12 +182,12 @@
         start_response(REASONS[200], headers)
         return [answer]
 
-    def _work(self, environ, deadline_at_ms):
-        """Take the time of an execution; False if it was cancelled or is too late."""
+    def _simulate_work(self, environ, deadline_at_ms):
+        """Sleep for ``work_ms``; return False if cancelled or past the deadline."""
         left_ms = self.work_ms
         while left_ms > 0:
-            gevent.sleep(min(left_ms, WORK_STEP_MS) / 1000.0)
-            left_ms -= WORK_STEP_MS
+            gevent.sleep(min(left_ms, CANCELLATION_CHECK_MS) / 1000.0)
+            left_ms -= CANCELLATION_CHECK_MS
             if left_ms > 0 and caller_is_gone(environ):
                 return False
         return clock_ms() <= deadline_at_ms
@@ -185,7 +199,7 @@
         token = int(environ.get("HTTP_TARRAGON_TOKEN", "-1"))
         return self.tokens.get(index) == token and clock_ms() < self.until_ms
 
-    def _note(self, environ, request_id, started_ms):
+    def _log_execution(self, environ, request_id, started_ms):
         entry = {
             "server": self.name,
             "boot_id": self.boot_id,
@@ -209,7 +223,7 @@
 
 
 def clock_ms():
-    """Return this machine's monotonic clock in milliseconds."""
+    """Return the machine's monotonic clock in milliseconds."""
     return time.monotonic() * 1000.0
 
 
@@ -221,7 +235,7 @@
 
 
 def main():
-    """Run the stand-in until it is killed."""
+    """Serve the given addresses until the process is killed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--address", required=True, nargs="+")
     parser.add_argument("--name", required=True, nargs="+")
@@ -246,7 +260,7 @@
                 clock_ms() + options.cold_ms,
             )
             WebServer(address, server).start()
-        note_pauses()
+        watch_pauses()
         gevent.get_hub().join()
 
 
--- a/standins/layouts.py
+++ b/standins/layouts.py
@@ -1,4 +1,4 @@
-"""A small site: four daemons, two failure domains, five backend servers."""
+"""A small site: four daemons and five backend servers in two failure domains."""
 
 import collections
 import math
@@ -20,7 +20,7 @@
     "DAEMONS",
     "IN_DOMAIN",
     "holder_of",
-    "is_settled",
+    "is_balanced",
     "start_small",
     "successor_of",
 ]
@@ -53,21 +53,21 @@
 
 
 def start_small(site, checks=True, **changes):
-    """Start everything, declare the team and wait until every key has an owner.
+    """Start all processes, declare the team and wait until every key has an owner.
 
     Parameters
     ----------
     site : Site
-        Nothing of which has been started.
+        One that has not been started.
     checks : bool, default=True
-        Whether the servers of the grant records check who gives them orders.
+        Whether the servers of the service ``records`` check grants.
     **changes
-        Of every backend server, as fields of Backend.
+        Fields of ``Backend`` to override for every backend server.
 
     Raises
     ------
     RuntimeError
-        If the team is refused.
+        If the declaration of the team is refused.
     """
     site.start_platform()
     for spec in DAEMONS:
@@ -80,24 +80,25 @@
         raise RuntimeError(done.stderr)
     for name in ALL_DAEMONS:
         site.wait_owned(name)
-    _wait_settled(site)
+    _wait_balanced(site)
 
 
-def _wait_settled(site, timeout_s=20.0):
-    """Wait until no more keys move: servers that came late are given their share."""
+def _wait_balanced(site, timeout_s=20.0):
+    """Wait until keys are evenly distributed, also to servers that registered late."""
     name = "objects/Assignment/fraser-valley.records"
     with gevent.Timeout(timeout_s):
-        while not is_settled(site.operator("d1", name)["spec"]["ranges"]):
+        while not is_balanced(site.operator("d1", name)["spec"]["ranges"]):
             gevent.sleep(0.05)
 
 
-def is_settled(ranges, n_servers=3):
-    """Tell whether each of some equal servers owns no more than its share.
+def is_balanced(ranges, n_servers=3):
+    """Tell whether all slices are owned and no server owns more than its share.
 
     Parameters
     ----------
     ranges : list of [first, count, state, server, token]
     n_servers : int
+        Number of servers, all of the same weight.
     """
     counts = collections.Counter()
     for _, count, state, server, _ in ranges:
@@ -125,18 +126,18 @@
     ----------
     site : Site
     role : str
-        Name of the term's object.
+        Name of the ``Term`` object.
     asked : str, default="d1"
-        The daemon that is asked.
+        Daemon to query.
     """
-    return _named_in_term(site, role, asked, "holder")
+    return _term_field(site, role, asked, "holder")
 
 
 def successor_of(site, role, asked="d1"):
-    """Return the name of the daemon that a role's holder names; empty for nobody."""
-    return _named_in_term(site, role, asked, "successor")
+    """Return the name of a role's designated successor; empty if there is none."""
+    return _term_field(site, role, asked, "successor")
 
 
-def _named_in_term(site, role, asked, field):
+def _term_field(site, role, asked, field):
     stored = site.operator(asked, f"objects/Term/{role}")
     return stored["spec"][field].partition("#")[0]
--- a/standins/load.py
+++ b/standins/load.py
@@ -1,4 +1,4 @@
-"""Callers: a bounded load on the entry daemons that notes what each one got."""
+"""A closed-loop load generator for the entry daemons that records every outcome."""
 
 import collections
 import hashlib
@@ -16,15 +16,15 @@
 
 __all__ = ["Call", "Load", "Outcome", "summary"]
 
-WELL = "well"
+SUCCESS = "well"
 NOT_RUN = "not-run"
 UNKNOWN = "unknown"
-WRONG = "wrong"
+MISMATCH = "wrong"
 
 
 @attrs.frozen
 class Call:
-    """One kind of request that callers make.
+    """A kind of request that callers send.
 
     Parameters
     ----------
@@ -33,7 +33,7 @@
     make_target : callable
         ``make_target(key) -> str``
     key_header : str
-        Header that carries the key; empty for none.
+        Name of the header that carries the key; empty for none.
     body_bytes : int
     """
 
@@ -46,7 +46,22 @@
 
 @attrs.frozen
 class Outcome:
-    """What one caller got for one request."""
+    """Result of one request as its caller saw it.
+
+    Parameters
+    ----------
+    label : str
+        Of the call.
+    request_id, method, key : str
+    result : {"well", "not-run", "unknown", "wrong"}
+        ``wrong`` is a response that does not match the request.
+    status : int
+        HTTP status; 0 without a response.
+    began_ms, total_ms : float
+        Start on the monotonic clock, and duration.
+    reason : str
+        Of a refusal or failure.
+    """
 
     label: str
     request_id: str
@@ -61,20 +76,23 @@
 
 @attrs.define
 class Load:
-    """Callers at work.
+    """Callers that each send one request at a time.
 
     Parameters
     ----------
     addresses : list of str
-        Caller ports of the entry daemons, as a balancer would know them.
+        Caller addresses of the entry daemons, as a load balancer would know them.
     calls : list of Call
+        Drawn from uniformly.
     n_keys : int
+        Number of distinct keys.
     n_callers : int
     pause_ms : float
-        Between a caller's requests.
+        Pause of a caller between two requests.
     seed : int
+    outcomes : list of Outcome
     stopping : bool
-        Set it to end the load before its time.
+        Set to True to stop the load early.
     """
 
     addresses: list
@@ -89,7 +107,7 @@
     _down_until_ms: dict = attrs.Factory(dict)
 
     def run(self, duration_s, progress=None):
-        """Send requests for a time; returns once the last one is answered.
+        """Send requests for a time and wait for the last responses.
 
         Parameters
         ----------
@@ -123,7 +141,7 @@
         began_ms = time.monotonic() * 1000.0
         result = self._send(call, call.make_target(key), headers, body, offset)
         total_ms = time.monotonic() * 1000.0 - began_ms
-        kind, status, reason = judge(result, request_id, body)
+        kind, status, reason = classify_result(result, request_id, body)
         self.outcomes.append(
             Outcome(
                 call.label,
@@ -139,7 +157,10 @@
         )
 
     def _send(self, call, target, headers, body, offset):
-        """Send to a daemon that takes connections, as a balancer would."""
+        """Send to the next daemon that accepts connections, as a load balancer would.
+
+        A daemon that could not be reached is skipped for 500 ms.
+        """
         result = None
         for step in range(len(self.addresses)):
             address = self.addresses[(offset + step) % len(self.addresses)]
@@ -153,32 +174,33 @@
         return result
 
 
-def judge(result, request_id, body):
-    """Return what a caller got, the status, and the reason of a refusal.
+def classify_result(result, request_id, body):
+    """Return the outcome's result, HTTP status and reason.
 
     Parameters
     ----------
-    result : Result of Answer, or None
+    result : Result of Response, or None
+        None if every daemon was being skipped.
     request_id : str
     body : bytes
-        As sent.
+        Of the request.
     """
     if result is None:
         return NOT_RUN, 0, "no daemon reached"
     if not is_successful(result):
         not_sent = isinstance(result.failure(), NotSentError)
         return (NOT_RUN if not_sent else UNKNOWN), 0, str(result.failure())
-    answer = result.unwrap()
-    if answer.status == 200:
-        wanted = f"request={request_id} body={hashlib.sha256(body).hexdigest()}\n"
-        whole = answer.body.endswith(wanted.encode())
-        return (WELL if whole else WRONG), 200, ""
-    reason = answer.body.decode(errors="replace").strip()
-    return answer.header("Tarragon-Outcome", UNKNOWN), answer.status, reason
+    response = result.unwrap()
+    if response.status == 200:
+        expected = f"request={request_id} body={hashlib.sha256(body).hexdigest()}\n"
+        is_match = response.body.endswith(expected.encode())
+        return (SUCCESS if is_match else MISMATCH), 200, ""
+    reason = response.body.decode(errors="replace").strip()
+    return response.header("Tarragon-Outcome", UNKNOWN), response.status, reason
 
 
 def summary(outcomes):
-    """Return rows of label, count by result, and p50, p99 and maximum in ms."""
+    """Return a row for each label: counts by result, and p50, p99 and max in ms."""
     by_label = collections.defaultdict(list)
     for outcome in outcomes:
         by_label[outcome.label].append(outcome)
@@ -189,7 +211,9 @@
         rows.append(
             {
                 "label": label,
-                **{kind: counts[kind] for kind in (WELL, NOT_RUN, UNKNOWN, WRONG)},
+                **{
+                    kind: counts[kind] for kind in (SUCCESS, NOT_RUN, UNKNOWN, MISMATCH)
+                },
                 "p50_ms": times_ms[len(times_ms) // 2],
                 "p99_ms": times_ms[int(len(times_ms) * 0.99)],
                 "max_ms": times_ms[-1],
--- a/standins/pauses.py
+++ b/standins/pauses.py
@@ -1,4 +1,7 @@
-"""Tells when a stand-in's process stood still, in its standard error."""
+"""Reports pauses of a stand-in's process on its standard error.
+
+A pause is a time in which the process was not scheduled or its event loop was blocked.
+"""
 
 import os
 import re
@@ -8,16 +11,16 @@
 
 from tarragonramp.adapters.usage import LoopWatch
 
-__all__ = ["note_pauses", "pauses_in"]
+__all__ = ["watch_pauses", "pauses_in"]
 
-LINE = re.compile(r"event=(?:stood-still|event-loop-blocked) .*")
+PAUSE_LINE = re.compile(r"event=(?:stood-still|event-loop-blocked) .*")
 
 
-def note_pauses():
-    """Watch this process for as long as it runs.
+def watch_pauses():
+    """Print a line for each pause of this process, until it ends.
 
-    A machine that gives a server or the proxy no time looks to callers like a server
-    that is silent; only the process itself can tell.
+    To callers, a server or proxy that gets no CPU time looks like one that does not
+    respond; only the process itself can tell the difference.
     """
     gevent.spawn(LoopWatch(_print_pause).run)
 
@@ -28,22 +31,24 @@
 
 
 def pauses_in(folder):
-    """Return what the processes of a site have said of their pauses.
+    """Return the pauses that the processes of a site have reported.
 
     Parameters
     ----------
     folder : str
-        Of the site.
+        The site's folder, with the standard error of each process.
 
     Returns
     -------
     pauses : list of str
-        One for each, with the name of its process.
+        One line per pause, prefixed with the name of the process.
     """
     found = []
     for name in sorted(os.listdir(folder)):
         if not name.endswith(".err"):
             continue
         with open(os.path.join(folder, name), encoding="utf-8") as stream:
-            found += [f"{name[:-4]}: {line}" for line in LINE.findall(stream.read())]
+            found += [
+                f"{name[:-4]}: {line}" for line in PAUSE_LINE.findall(stream.read())
+            ]
     return found
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's object API, with faults on order."""
+"""A stand-in for the platform's object API, with fault injection."""
 
 from gevent import monkey
 
@@ -15,25 +15,26 @@
 
 from tarragonramp.adapters.web import WebServer, json_reply  # noqa: E402
 
-REPLAY_MS = 200.0
+REPLAY_INTERVAL_MS = 200.0
 MAX_VALUE_BYTES = 1_048_576
 
 
 @attrs.define
 class Faults:
-    """What goes wrong at the moment.
+    """Faults that are active now.
 
     Parameters
     ----------
     down : bool
-        Answer nothing but 503.
+        Respond to every call with 503.
     delay_ms : float
-        Before every answer.
+        Delay of every response.
     lose_answers : int
-        So many writes take effect without an answer.
+        Number of further writes that are applied but answered with 504.
     freeze_reads : bool
-        Watches and lists show what they showed when this was set; a watch shows all of
-        it again and again, as a replica does that has forgotten what it told.
+        Watches and lists show the state at the time when this was set. A watch returns
+        all of it repeatedly, like a stale replica without a record of what the watcher
+        has already received.
     """
 
     down: bool = False
@@ -44,7 +45,7 @@
 
 @attrs.define(eq=False, repr=False)
 class PlatformStandIn:
-    """Objects with versions, conditional updates and watches; and a VM list."""
+    """Versioned objects with conditional updates and watches, and the VM list."""
 
     version: int = 0
     objects: dict = attrs.Factory(dict)
@@ -53,11 +54,11 @@
     sent_bytes: dict = attrs.Factory(dict)
     waiting_watches: int = 0
     faults: Faults = attrs.Factory(Faults)
-    _frozen: tuple = (0, {})
+    _frozen_state: tuple = (0, {})
     _changed: Event = attrs.Factory(Event)
 
     def __call__(self, environ, start_response):
-        """Serve one call."""
+        """Handle one call."""
         path = environ["PATH_INFO"].strip("/").split("/")
         query = {
             k: v[0]
@@ -95,13 +96,13 @@
             return self._read(path[1:])
         return self._write(method, path[1], path[2], body, int(query["version"]))
 
-    def _shown(self):
+    def _visible_state(self):
         if self.faults.freeze_reads:
-            return self._frozen
+            return self._frozen_state
         return self.version, self.objects
 
     def _read(self, names):
-        _, objects = self._shown()
+        _, objects = self._visible_state()
         if len(names) == 1:
             items = [
                 item
@@ -115,10 +116,10 @@
         return 200, item
 
     def _write(self, method, kind, name, spec, expected_version):
-        held = self.objects.get((kind, name))
-        current = 0 if held is None or held["spec"] is None else held["version"]
+        stored = self.objects.get((kind, name))
+        current = 0 if stored is None or stored["spec"] is None else stored["version"]
         if current != expected_version:
-            return 409, {"current": held if current else None}
+            return 409, {"current": stored if current else None}
         self.version += 1
         item = {
             "kind": kind,
@@ -127,19 +128,19 @@
             "spec": None if method == "DELETE" else spec,
         }
         self.objects[kind, name] = item
-        self._wake()
+        self._notify_watchers()
         return 200, item
 
     def _watch(self, since, wait_ms, kinds):
         until_s = time.monotonic() + wait_ms / 1000.0
         if self.faults.freeze_reads:
             since = -1
-            gevent.sleep(min(wait_ms, REPLAY_MS) / 1000.0)
+            gevent.sleep(min(wait_ms, REPLAY_INTERVAL_MS) / 1000.0)
         self.waiting_watches += 1
         try:
             while True:
                 changed = self._changed
-                version, objects = self._shown()
+                version, objects = self._visible_state()
                 items = [
                     item
                     for (kind, _), item in objects.items()
@@ -152,16 +153,16 @@
         finally:
             self.waiting_watches -= 1
 
-    def _wake(self):
+    def _notify_watchers(self):
         changed, self._changed = self._changed, Event()
         changed.set()
 
-    def _control(self, what, body):
-        if what == "vms" and body is not None:
+    def _control(self, resource, body):
+        if resource == "vms" and body is not None:
             self.vms = body
-        if what == "faults" and body is not None:
+        if resource == "faults" and body is not None:
             if body.get("freeze_reads") and not self.faults.freeze_reads:
-                self._frozen = (self.version, dict(self.objects))
+                self._frozen_state = (self.version, dict(self.objects))
             self.faults = attrs.evolve(self.faults, **body)
         return {
             "vms": self.vms,
@@ -177,7 +178,7 @@
 
 
 def main():
-    """Run the stand-in until it is killed."""
+    """Serve until the process is killed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--address", required=True)
     options = parser.parse_args()
--- a/standins/proxy.py
+++ b/standins/proxy.py
@@ -1,10 +1,10 @@
-"""A TCP proxy that cuts, delays and refuses between named processes.
+"""A fault-injecting TCP proxy that cuts, delays and refuses connections.
 
-It stands in front of every server of a site. Who connects is told by the process
-that owns the connecting socket, so that the processes need no knowledge of it.
+The processes of a site connect to each other through it. It identifies the connecting
+process by the owner of the socket, so that the processes need not know of the proxy.
 
-A cut holds bytes back and delivers them once it heals, as TCP would by sending them
-again: what was under way before and during a cut arrives late.
+A cut holds bytes back and delivers them when it ends, as TCP does by retransmission:
+data sent before or during a cut arrives late.
 """
 
 from gevent import monkey
@@ -25,12 +25,12 @@
 from tarragonramp.adapters.http import split_address  # noqa: E402
 from tarragonramp.adapters.web import WebServer, json_reply  # noqa: E402
 
-from .pauses import note_pauses  # noqa: E402
+from .pauses import watch_pauses  # noqa: E402
 
 CHUNK_BYTES = 65_536
 UNKNOWN_PROCESS = "?"
 
-# Of the kernel's socket diagnosis over netlink.
+# Constants of the kernel's socket diagnostics, see sock_diag(7).
 NETLINK_SOCK_DIAG = 4
 SOCK_DIAG_BY_FAMILY = 20
 NLM_F_REQUEST = 1
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class Fault:
-    """Something wrong on the way from some processes to others.
+    """A fault of the connections from some processes to others.
 
     Parameters
     ----------
@@ -49,7 +49,7 @@
         Names of the connecting and of the listening processes.
     kind : {"cut", "cut-requests", "cut-answers", "delay", "refuse"}
     delay_ms : float
-        For ``delay``, each way.
+        Delay in each direction, for ``delay``.
     """
 
     sources: list
@@ -57,21 +57,28 @@
     kind: str
     delay_ms: float = 0.0
 
-    def concerns(self, source, target):
-        """Tell whether a connection suffers from it."""
+    def applies_to(self, source, target):
+        """Tell whether the fault affects connections between two processes."""
         return source in self.sources and target in self.targets
 
 
 @attrs.define(eq=False, repr=False)
 class Proxy:
-    """All links of a site, and what is wrong with them now."""
+    """The links of a site and their active faults.
+
+    Parameters
+    ----------
+    pids : dict of str to int
+        By name of the process.
+    faults : list of Fault
+    """
 
     pids: dict = attrs.Factory(dict)
     faults: list = attrs.Factory(list)
     _changed: Event = attrs.Factory(Event)
 
     def add_link(self, listen, target_address, target):
-        """Listen for connections to a process.
+        """Listen at an address and forward its connections to a process.
 
         Parameters
         ----------
@@ -87,24 +94,24 @@
         StreamServer(split_address(listen), handle).start()
 
     def control(self, environ, start_response):
-        """Serve the launcher: links, pids and faults."""
+        """Handle a call of the launcher, which sets links, pids and faults."""
         body = json.loads(environ["wsgi.input"].read() or b"null")
-        what = environ["PATH_INFO"].strip("/")
-        if what == "links":
+        resource = environ["PATH_INFO"].strip("/")
+        if resource == "links":
             for link in body:
                 self.add_link(**link)
-        if what == "pids":
+        if resource == "pids":
             self.pids.update(body)
-        if what == "faults":
+        if resource == "faults":
             self.faults = [Fault(**item) for item in body]
             changed, self._changed = self._changed, Event()
             changed.set()
         return json_reply(start_response, 200, {"faults": len(self.faults)})
 
     def _handle(self, client, address, target_address, target):
-        source = self._process_at(address, client.getsockname())
-        if self._kinds(source, target) & {"refuse"}:
-            # RST instead of FIN: what a firewall that refuses sends.
+        source = self._process_name(address, client.getsockname())
+        if self._active_kinds(source, target) & {"refuse"}:
+            # Resets the connection (RST), as a rejecting firewall does.
             client.setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
             )
@@ -115,8 +122,8 @@
         except OSError:
             client.close()
             return
-        for one in (client, server):
-            one.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        for connection in (client, server):
+            connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         tasks = [
             gevent.spawn(self._pump, client, server, source, target, "cut-requests"),
             gevent.spawn(self._pump, server, client, source, target, "cut-answers"),
@@ -125,11 +132,11 @@
         client.close()
         server.close()
 
-    def _pump(self, reader, writer, source, target, one_way):
+    def _pump(self, reader, writer, source, target, direction_cut):
         try:
             while True:
                 data = reader.recv(CHUNK_BYTES)
-                self._wait_while_cut(source, target, one_way)
+                self._wait_while_cut(source, target, direction_cut)
                 delay_ms = self._delay_ms(source, target)
                 if delay_ms:
                     gevent.sleep(delay_ms / 1000.0)
@@ -138,25 +145,25 @@
                     return
                 writer.sendall(data)
         except OSError:
-            # One side was reset: so is the other.
-            for one in (reader, writer):
+            # After a reset of one side, both are shut down.
+            for connection in (reader, writer):
                 try:
-                    one.shutdown(socket.SHUT_RDWR)
+                    connection.shutdown(socket.SHUT_RDWR)
                 except OSError:
                     continue
 
-    def _wait_while_cut(self, source, target, one_way):
-        while self._kinds(source, target) & {"cut", one_way}:
+    def _wait_while_cut(self, source, target, direction_cut):
+        while self._active_kinds(source, target) & {"cut", direction_cut}:
             self._changed.wait()
 
-    def _kinds(self, source, target):
-        return {f.kind for f in self.faults if f.concerns(source, target)}
+    def _active_kinds(self, source, target):
+        return {f.kind for f in self.faults if f.applies_to(source, target)}
 
     def _delay_ms(self, source, target):
-        return sum(f.delay_ms for f in self.faults if f.concerns(source, target))
+        return sum(f.delay_ms for f in self.faults if f.applies_to(source, target))
 
-    def _process_at(self, address, own_address):
-        """Return the name of the process that owns a connecting socket."""
+    def _process_name(self, address, own_address):
+        """Return the name of the process that owns the connecting socket."""
         inode = _inode_of(address, own_address)
         for name, pid in self.pids.items():
             if inode and inode in _socket_inodes(pid):
@@ -165,10 +172,11 @@
 
 
 def _inode_of(address, own_address):
-    """Ask the kernel for the one socket that is connected between two addresses.
+    """Return the inode of the socket that is connected between two addresses.
 
-    ``/proc/net/tcp`` would do, but lists every socket of the machine: with some ten
-    thousand of them each connection would hold up the proxy for tens of milliseconds.
+    The kernel is asked for this one socket. ``/proc/net/tcp`` lists every socket of the
+    machine: with ten thousand of them, reading it would block the proxy for tens of
+    milliseconds per connection.
     """
     sock_id = struct.pack("!HH", address[1], own_address[1])
     for host, _ in (address, own_address):
@@ -200,11 +208,11 @@
 
 
 def main():
-    """Run the proxy until it is killed."""
+    """Serve until the process is killed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--control", required=True)
     options = parser.parse_args()
-    note_pauses()
+    watch_pauses()
     WebServer(options.control, Proxy().control).serve_forever()
 
 
--- a/standins/site.py
+++ b/standins/site.py
@@ -1,4 +1,4 @@
-"""Starts a whole site of plain processes on loopback, for tests and the demo."""
+"""Starts a site of local processes on loopback, for tests and the demo."""
 
 import json
 import os
@@ -19,22 +19,22 @@
 
 
 class StartError(Exception):
-    """A process of a site that ended when it should have begun to serve."""
+    """A process of a site ended before it was ready."""
 
 
 START_TIMEOUT_S = 20.0
-PORTS = (12_000, 32_000)
-PORTS_IN_BLOCK = 100
-_guards = []
+PORT_RANGE = (12_000, 32_000)
+PORT_BLOCK_SIZE = 100
+_block_sockets = []
 _free_ports = []
 
 
 def free_address():
-    """Return a loopback ``ip:port`` that no other launcher gives out.
+    """Return a loopback ``ip:port`` that no other launcher hands out.
 
-    Ports come in blocks below the kernel's range for connecting sockets. Whoever binds
-    the first port of a block has the others: without that, two launchers on one machine
-    give out a port that neither server has bound yet.
+    Ports are reserved in blocks below the kernel's ephemeral port range. A launcher
+    reserves a block by binding its first port; otherwise two launchers on one machine
+    could hand out the same port before either server has bound it.
     """
     while True:
         if not _free_ports:
@@ -49,19 +49,19 @@
 
 
 def _claim_block():
-    blocks = list(range(*PORTS, PORTS_IN_BLOCK))
+    blocks = list(range(*PORT_RANGE, PORT_BLOCK_SIZE))
     random.shuffle(blocks)
     for first in blocks:
-        guard = socket.socket()
+        block_socket = socket.socket()
         try:
-            guard.bind(("127.0.0.1", first))
+            block_socket.bind(("127.0.0.1", first))
         except OSError:
-            guard.close()
+            block_socket.close()
             continue
-        _guards.append(guard)
-        _free_ports.extend(range(first + 1, first + PORTS_IN_BLOCK))
+        _block_sockets.append(block_socket)
+        _free_ports.extend(range(first + 1, first + PORT_BLOCK_SIZE))
         return
-    raise RuntimeError("every block of ports is taken")
+    raise RuntimeError("no free block of ports")
 
 
 @attrs.frozen
@@ -74,10 +74,11 @@
     divided : bool
     slots : int
     work_ms : float
+        Duration of an execution.
     checks : bool
-        Whether a divided one refuses whoever has no grant.
+        Whether a divided server refuses requests without a valid grant.
     cold_ms : float
-        How long it is cold after each start.
+        Duration of the cold start after each start.
     """
 
     name: str
@@ -101,14 +102,24 @@
 
 @attrs.define
 class Site:
-    """Processes of one site, and what they write.
+    """The processes of one site, and their logs.
 
     Parameters
     ----------
     folder : str
-        Settings, server logs and daemon logs go here.
+        For settings, execution logs of servers and output of processes.
     proxied : bool
-        Whether all connections between processes pass a fault-injecting proxy.
+        Whether processes connect to each other through a fault-injecting proxy.
+    proxy_address, platform_address : str
+        Control address of the proxy, and address of the platform's stand-in.
+    processes : dict of str to subprocess.Popen
+        By name.
+    addresses : dict of str to str
+        Listening addresses of backend servers, by name.
+    settings : dict of str to dict
+        Settings of daemons, by name.
+    vms : list of dict
+        The platform's VM list.
     """
 
     folder: str = attrs.Factory(lambda: tempfile.mkdtemp(prefix="site-"))
@@ -123,25 +134,27 @@
     _links: dict = attrs.Factory(dict)
 
     def start_platform(self):
-        """Start the platform's stand-in, and the proxy if there is to be one."""
+        """Start the platform's stand-in, after the proxy if the site has one."""
         if self.proxied:
             self._spawn(
                 "proxy", ["-m", "standins.proxy", "--control", self.proxy_address]
             )
-            self._wait_until(lambda: self._proxy("pids", {}) is not None, "proxy")
+            self._wait_until(
+                lambda: self._control_proxy("pids", {}) is not None, "proxy"
+            )
         self._spawn(
             "platform", ["-m", "standins.platform", "--address", self.platform_address]
         )
         self._wait_until(lambda: self.platform("vms") is not None, "platform")
 
     def start_backend(self, backend):
-        """Start a backend server and list its VM."""
+        """Start a backend server and add its VM to the platform's list."""
         self.start_backends([backend])
 
     def start_backends(self, backends):
-        """Start one process that stands for backend servers of one kind.
+        """Start one process that serves several backend servers.
 
-        The first one's name is the process's, and its kind that of them all.
+        The process is named after the first server, whose options apply to all.
         """
         first, names = backends[0], [backend.name for backend in backends]
         addresses = [self.addresses.setdefault(n, free_address()) for n in names]
@@ -160,7 +173,7 @@
             self.vms.append(
                 {
                     "name": backend.name,
-                    "address": self._link(address, backend.name),
+                    "address": self._reachable_address(address, backend.name),
                     "failure_domain": backend.failure_domain,
                     "team": backend.team,
                     "service": backend.service,
@@ -170,44 +183,46 @@
         self.platform("vms", self.vms)
 
     def restart_backend(self, name):
-        """Start a killed backend server again, at its address."""
+        """Start a killed backend server again at the same address."""
         self.start_backend(self._backends[name])
 
     def start_daemon(self, spec, **settings):
-        """Start a daemon; further settings override the usual ones."""
+        """Start a daemon; keyword arguments override its default settings."""
         control, peer = free_address(), free_address()
-        written = {
+        merged = {
             "name": spec.name,
             "failure_domain": spec.failure_domain,
             "caller_address": free_address(),
             "control_address": control,
             "peer_address": peer,
-            "advertised_control_address": self._link(control, spec.name),
-            "advertised_peer_address": self._link(peer, spec.name),
-            "platform_address": self._link(self.platform_address, "platform"),
+            "advertised_control_address": self._reachable_address(control, spec.name),
+            "advertised_peer_address": self._reachable_address(peer, spec.name),
+            "platform_address": self._reachable_address(
+                self.platform_address, "platform"
+            ),
             "security": {"insecure": True},
             **settings,
         }
-        self.settings[spec.name] = written
+        self.settings[spec.name] = merged
         self.restart_daemon(spec.name)
 
     def restart_daemon(self, name):
-        """Start a daemon with the settings it had."""
+        """Start a daemon with its previous settings."""
         path = os.path.join(self.folder, f"{name}.yaml")
         with open(path, "w", encoding="utf-8") as stream:
             yaml.safe_dump(self.settings[name], stream)
         self._spawn(name, ["-m", "tarragonramp.daemon", "--settings", path])
 
     def wait_ready(self, names):
-        """Wait until daemons say they are ready."""
+        """Wait until daemons report that they are ready."""
         for name in names:
             self._wait_until(lambda name=name: self._is_ready(name), name)
 
     def wait_owned(self, name, timeout_s=START_TIMEOUT_S):
-        """Wait until a daemon sees an owner for every slice of every service."""
+        """Wait until a daemon knows an owner for every slice of every service."""
 
         def all_owned():
-            # Answered from the daemon's own view, also while the platform is slow.
+            # Answered from the daemon's view, so it works while the platform is slow.
             status = self.operator(name, "services")
             services = status["services"] if status else ()
             return services and all(s["owned"] == s["slices"] for s in services)
@@ -215,7 +230,7 @@
         self._wait_until(all_owned, "owners", timeout_s)
 
     def command(self, *arguments, daemon=None):
-        """Run the operators' command; return its completed process."""
+        """Run the operators' command and return the completed process."""
         if daemon is not None:
             address = self.settings[daemon]["control_address"]
             arguments += ("--daemon", address)
@@ -227,48 +242,48 @@
             check=False,
         )
 
-    def operator(self, daemon, what):
-        """Ask a daemon's operator port."""
+    def operator(self, daemon, resource):
+        """Read a resource from a daemon's operator interface."""
         address = self.settings[daemon]["control_address"]
-        return _ask(address, f"/operator/{what}")
+        return _request_json(address, f"/operator/{resource}")
 
-    def platform(self, what, payload=None):
-        """Read or set what the platform's stand-in does; None if not reached."""
-        return _ask(self.platform_address, f"/standin/{what}", payload)
+    def platform(self, resource, payload=None):
+        """Read or set the state of the platform's stand-in; None if unreachable."""
+        return _request_json(self.platform_address, f"/standin/{resource}", payload)
 
     def caller_address(self, daemon):
-        """Return where a daemon takes callers' requests."""
+        """Return the address at which a daemon accepts callers' requests."""
         return self.settings[daemon]["caller_address"]
 
     def set_faults(self, *faults):
-        """Replace what is wrong between processes; nothing is without arguments.
+        """Replace the active faults of the proxy; without arguments, remove all.
 
         Parameters
         ----------
         *faults : standins.proxy.Fault
         """
-        self._proxy("faults", [attrs.asdict(fault) for fault in faults])
+        self._control_proxy("faults", [attrs.asdict(fault) for fault in faults])
 
     def signal(self, name, number):
         """Send a signal to one of this site's processes."""
         self.processes[name].send_signal(number)
 
     def is_running(self, name):
-        """Tell whether a process was started and has not ended."""
+        """Tell whether a process has been started and has not ended."""
         return name in self.processes and self.processes[name].poll() is None
 
     def kill(self, name):
-        """Kill a process at once and wait for its end."""
+        """Kill a process and wait until it has ended."""
         self.signal(name, signal.SIGKILL)
         self.processes[name].wait()
 
     def terminate(self, name, timeout_s=30.0):
-        """Ask a process to stop; return its exit code."""
+        """Send SIGTERM to a process and return its exit code."""
         self.signal(name, signal.SIGTERM)
         return self.processes[name].wait(timeout_s)
 
     def stop(self):
-        """Kill everything that is left."""
+        """Kill all processes that are still running."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -277,7 +292,7 @@
             process.wait()
 
     def server_log(self, name):
-        """Return the path of a backend server's log of executions."""
+        """Return the path of a backend server's execution log."""
         return os.path.join(self.folder, f"{name}.log")
 
     def executions(self):
@@ -289,14 +304,14 @@
         return entries
 
     def lines_about(self, text):
-        """Return the lines of all daemons' logs that contain a text, by time."""
+        """Return the log lines of all daemons that contain a text, sorted by time."""
         lines = [
             x for name in self.settings for x in self.daemon_log(name).splitlines()
         ]
         return sorted(line for line in lines if text in line)
 
     def daemon_log(self, name):
-        """Return what a process wrote to standard error."""
+        """Return the standard error of a process."""
         path = os.path.join(self.folder, f"{name}.err")
         with open(path, encoding="utf-8") as stream:
             return stream.read()
@@ -308,56 +323,58 @@
                 [sys.executable, *arguments],
                 stdout=stream,
                 stderr=stream,
-                # An interrupt at the terminal is for the launcher alone.
+                # Keeps an interrupt from the terminal from reaching the process.
                 start_new_session=True,
             )
 
         if self.proxied:
-            self._proxy("pids", {name: self.processes[name].pid})
+            self._control_proxy("pids", {name: self.processes[name].pid})
 
-    def _link(self, address, target):
-        """Return where others reach a process: the proxy, if there is one."""
+    def _reachable_address(self, address, target):
+        """Return the address at which others reach a process, through any proxy."""
         if not self.proxied:
             return address
         if address not in self._links:
             listen = self._links[address] = free_address()
             link = {"listen": listen, "target_address": address, "target": target}
-            self._proxy("links", [link])
+            self._control_proxy("links", [link])
         return self._links[address]
 
-    def _proxy(self, what, payload):
-        return _ask(self.proxy_address, f"/{what}", payload)
+    def _control_proxy(self, resource, payload):
+        return _request_json(self.proxy_address, f"/{resource}", payload)
 
     def _is_ready(self, name):
-        self._check_alive(name)
-        return (_ask(self.settings[name]["control_address"], "/ready") or {}).get(
-            "ready", False
-        )
+        self._raise_if_ended(name)
+        return (
+            _request_json(self.settings[name]["control_address"], "/ready") or {}
+        ).get("ready", False)
 
-    def _check_alive(self, name):
+    def _raise_if_ended(self, name):
         code = self.processes[name].poll()
         if code is not None:
             last = self.daemon_log(name).strip().rpartition("\n")[2]
-            raise StartError(f"{name} ended with exit code {code}: {last}")
+            raise StartError(f"{name} exited with code {code}: {last}")
 
-    def _wait_until(self, condition, what, timeout_s=START_TIMEOUT_S):
+    def _wait_until(self, condition, awaited, timeout_s=START_TIMEOUT_S):
         until_s = time.monotonic() + timeout_s
         while time.monotonic() < until_s:
             if condition():
                 return
-            if what in self.processes and not self.is_running(what):
+            if awaited in self.processes and not self.is_running(awaited):
                 break
             time.sleep(0.05)
-        logs = "".join(f"\n{name}: {self._end_of(name)}" for name in self.processes)
-        raise TimeoutError(f"{what} not there within {timeout_s} s{logs}")
+        logs = "".join(
+            f"\n{name}: {self._last_output(name)}" for name in self.processes
+        )
+        raise TimeoutError(f"{awaited} not ready within {timeout_s} s{logs}")
 
-    def _end_of(self, name):
+    def _last_output(self, name):
         state = self.processes[name].poll()
         return f"exit code {state}; {self.daemon_log(name)[-300:]}"
 
 
-def _ask(address, target, payload=None):
+def _request_json(address, target, payload=None):
     method = "GET" if payload is None else "POST"
     body = b"" if payload is None else json.dumps(payload).encode()
-    answer = HttpPool(address).exchange(method, target, (), body, 2000).value_or(None)
-    return None if answer is None else json.loads(answer.body)
+    response = HttpPool(address).exchange(method, target, (), body, 2000).value_or(None)
+    return None if response is None else json.loads(response.body)
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -1,4 +1,4 @@
-"""What a site's processes say of their own pauses."""
+"""Tests of the pause reports of a site's processes."""
 
 import shutil
 import signal
@@ -11,10 +11,10 @@
 
 
 class PausesTest(unittest.TestCase):
-    """A proxy and a backend server, one of which stands still."""
+    """A backend server behind a proxy is paused."""
 
-    def test_who_stood_still_is_told(self):
-        """Guards against a machine's pause that looks like a fault of the service."""
+    def test_a_paused_process_reports_it(self):
+        """Guards against a machine's pause being mistaken for a fault of the router."""
         site = Site(proxied=True)
         self.addCleanup(shutil.rmtree, site.folder, ignore_errors=True)
         self.addCleanup(site.stop)
@@ -25,6 +25,6 @@
         gevent.sleep(0.8)
         site.signal("records1", signal.SIGCONT)
         gevent.sleep(0.5)
-        told = [line for line in pauses_in(site.folder) if "records1" in line]
-        self.assertTrue(told)
-        self.assertIn("event=stood-still", told[-1])
+        reported = [line for line in pauses_in(site.folder) if "records1" in line]
+        self.assertTrue(reported)
+        self.assertIn("event=stood-still", reported[-1])
