--- a/standins/fleet_server.py
+++ b/standins/fleet_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for the users' backend servers, as their pages describe them."""
+"""A stand-in for the users' backend servers, as their documentation describes them."""
 
 from gevent import monkey
 
@@ -16,21 +16,28 @@
 from tarragonramp.adapters.http import HttpPool  # noqa: E402
 from tarragonramp.adapters.web import HEADERS_KEY, WebServer  # noqa: E402
 
-BEAT_MS = 300.0
+HEARTBEAT_INTERVAL_MS = 300.0
 LOG, FAULTS = "/stand-in/log", "/stand-in/faults"
 
 
 @attrs.define
 class ServerFaults:
-    """What goes wrong at the moment, each for so many requests.
+    """Number of further requests for which each fault occurs.
 
     Parameters
     ----------
-    shed, lose, truncate, foreign, unmarked : int
-        Refuse unrun; run and close without an answer; cut the answer; answer for
-        another request; answer without the mark.
+    shed : int
+        Refused without being executed.
+    lose : int
+        Executed; the connection is closed without a response.
+    truncate : int
+        The response ends before its declared length.
+    foreign : int
+        The response carries the id of another request.
+    unmarked : int
+        The response lacks the header ``Upstream-Stamp``.
     silent_grants : int
-        Grants that are taken and not answered.
+        Grants that are applied but not answered in time.
     """
 
     shed: int = 0
@@ -40,8 +47,8 @@
     unmarked: int = 0
     silent_grants: int = 0
 
-    def take(self, name):
-        """Tell whether a fault strikes now, and count it down."""
+    def consume(self, name):
+        """Tell whether a fault occurs now, and decrement its counter."""
         left = getattr(self, name)
         setattr(self, name, max(0, left - 1))
         return left > 0
@@ -49,15 +56,26 @@
 
 @attrs.define(eq=False, repr=False)
 class FleetServer:
-    """One life of one server.
+    """One process instance of a server.
 
     Parameters
     ----------
     name, service, domain : str
     address : str
+        At which others reach it.
     divided : bool
     slots : int
+        Requests executed concurrently.
     work_ms : float
+        Duration of an execution.
+    born : int
+        Start of the process, as Unix time in milliseconds.
+    hold_ends_s : dict of (int, int) to float
+        End of the hold of each range, on the monotonic clock.
+    tokens : dict of (int, int) to int
+        Highest fencing token seen for each range.
+    log : list of list
+        Events with their Unix time in milliseconds and details.
     """
 
     name: str
@@ -68,18 +86,18 @@
     slots: int
     work_ms: float
     born: int = attrs.Factory(lambda: int(time.time() * 1000))
-    holds: dict = attrs.Factory(dict)
+    hold_ends_s: dict = attrs.Factory(dict)
     tokens: dict = attrs.Factory(dict)
     log: list = attrs.Factory(list)
     faults: ServerFaults = attrs.Factory(ServerFaults)
     draining: bool = False
-    leaving_unsaid: bool = False
+    is_deregistering: bool = False
     running: int = 0
     waiting: int = 0
     running_keys: list = attrs.Factory(list)
 
     def __call__(self, environ, start_response):
-        """Serve one request."""
+        """Handle one request."""
         headers = dict(environ[HEADERS_KEY])
         body = environ["wsgi.input"].read()
         path = environ["PATH_INFO"]
@@ -100,75 +118,77 @@
             return self._not_run(start_response, 400)
         return self._run(environ, headers, body, start_response)
 
-    def _grant(self, order, start_response):
-        keys = order["from"], order["to"]
+    def _grant(self, message, start_response):
+        keys = message["from"], message["to"]
         if any(
-            token > order["fence"]
+            token > message["fence"]
             for (first, last), token in self.tokens.items()
             if first <= keys[1] and last >= keys[0]
         ):
             return _reply(start_response, 409, b"{}")
-        hold_s = float(order["hold_time"].removesuffix("ms")) / 1000.0
-        self.tokens[keys] = order["fence"]
-        self.holds[keys] = time.monotonic() + hold_s
-        self._note("grant", *keys, order["fence"], hold_s * 1000)
-        if self.faults.take("silent_grants"):
+        hold_s = float(message["hold_time"].removesuffix("ms")) / 1000.0
+        self.tokens[keys] = message["fence"]
+        self.hold_ends_s[keys] = time.monotonic() + hold_s
+        self._record("grant", *keys, message["fence"], hold_s * 1000)
+        if self.faults.consume("silent_grants"):
             gevent.sleep(30.0)
         return _reply(start_response, 200, b"{}")
 
-    def _release(self, order, start_response):
-        keys = order["from"], order["to"]
-        self.holds.pop(keys, None)
+    def _release(self, message, start_response):
+        keys = message["from"], message["to"]
+        self.hold_ends_s.pop(keys, None)
         while any(keys[0] <= key <= keys[1] for key in self.running_keys):
             gevent.sleep(0.002)
-        self._note("release", *keys, order["fence"])
+        self._record("release", *keys, message["fence"])
         return _reply(start_response, 200, b"{}", [("Handover", "h")])
 
-    def _holds(self, key):
+    def _owns_key(self, key):
         now_s = time.monotonic()
-        return any(a <= key <= b and now_s < end for (a, b), end in self.holds.items())
+        return any(
+            a <= key <= b and now_s < end for (a, b), end in self.hold_ends_s.items()
+        )
 
     def _run(self, environ, headers, body, start_response):
         key = headers.get("shard-key")
-        if self.divided and not self._holds(int(key)):
+        if self.divided and not self._owns_key(int(key)):
             return self._not_run(start_response, 421)
-        if self.faults.take("shed") or self.waiting > 4 * self.slots:
+        if self.faults.consume("shed") or self.waiting > 4 * self.slots:
             return self._not_run(start_response, 503)
         self.waiting += 1
         while self.running >= self.slots:
             gevent.sleep(0.002)
         self.waiting -= 1
-        if self.divided and not self._holds(int(key)):
+        if self.divided and not self._owns_key(int(key)):
             return self._not_run(start_response, 421)
         self.running += 1
         keys = [int(key)] if self.divided else []
         self.running_keys += keys
-        named = headers["request-id"]
+        request_id = headers["request-id"]
         method = environ["REQUEST_METHOD"]
-        self._note("run", named, method, key, headers.get("deadline-ms"))
+        self._record("run", request_id, method, key, headers.get("deadline-ms"))
         gevent.sleep(self.work_ms / 1000.0)
         self.running -= 1
-        for each in keys:
-            self.running_keys.remove(each)
-        return self._answer(environ, named, body, start_response)
+        for running_key in keys:
+            self.running_keys.remove(running_key)
+        return self._respond(environ, request_id, body, start_response)
 
-    def _note(self, what, *details):
-        """Note what was done, also where it outlives this process."""
-        entry = [what, time.time() * 1000, *details]
+    def _record(self, event, *details):
+        """Log an event, also to standard output, which outlives this process."""
+        entry = [event, time.time() * 1000, *details]
         self.log.append(entry)
         print(json.dumps([self.name, self.born, *entry]), flush=True)
 
-    def _answer(self, environ, named, body, start_response):
+    def _respond(self, environ, request_id, body, start_response):
         text = f"{self.name} {environ['PATH_INFO']} {len(body)}".encode()
-        if self.faults.take("lose"):
-            raise ConnectionResetError(errno.ECONNRESET, "stand-in loses an answer")
+        if self.faults.consume("lose"):
+            raise ConnectionResetError(errno.ECONNRESET, "injected: response lost")
         headers = [
-            ("Request-Id", "other" if self.faults.take("foreign") else named),
+            ("Request-Id", "other" if self.faults.consume("foreign") else request_id),
             ("Upstream-Load", f"{self.running},{self.waiting},{self.slots},100"),
         ]
-        if not self.faults.take("unmarked"):
-            headers.append(("Upstream-Stamp", f"mark.{named}"))
-        if self.faults.take("truncate"):
+        if not self.faults.consume("unmarked"):
+            headers.append(("Upstream-Stamp", f"mark.{request_id}"))
+        if self.faults.consume("truncate"):
             start_response("200 OK", [*headers, ("Content-Length", "999")])
             return [text]
         return _reply(start_response, 200, text, headers)
@@ -177,7 +197,7 @@
         return _reply(start_response, status, b"", [("Not-Executed", "1")])
 
     def entry(self, sequence):
-        """Return what this server writes of itself."""
+        """Return the server's entry in the store."""
         return {
             "addr": self.address,
             "born": self.born,
@@ -194,20 +214,20 @@
             },
         }
 
-    def beat(self, store):
-        """Write the own entry into the stand-in of the store, until it is removed."""
+    def run_heartbeats(self, store):
+        """Write the server's entry into the store until it is to be deregistered."""
         pool, sequence = HttpPool(store), 0
-        while not self.leaving_unsaid:
+        while not self.is_deregistering:
             sequence += 1
             entry = self.entry(sequence)
-            _tell(pool, write=["servers", self.name, entry, None])
-            gevent.sleep(BEAT_MS / 1000.0)
-        _tell(pool, delete=["servers", self.name])
-        self._note("draining")
+            _control_store(pool, write=["servers", self.name, entry, None])
+            gevent.sleep(HEARTBEAT_INTERVAL_MS / 1000.0)
+        _control_store(pool, delete=["servers", self.name])
+        self._record("draining")
 
 
-def _tell(store, **order):
-    store.exchange("POST", "/control", (), json.dumps(order).encode(), 500)
+def _control_store(store, **command):
+    store.exchange("POST", "/control", (), json.dumps(command).encode(), 500)
 
 
 def _reply(start_response, status, body, headers=()):
@@ -216,16 +236,16 @@
 
 
 def main():
-    """Serve until killed.
+    """Serve until the process is killed.
 
-    After SIGUSR1 the server says that it leaves; after SIGUSR2 its entry is removed
-    without a word. It goes on serving.
+    On SIGUSR1 the server's entry announces that it drains; on SIGUSR2 the entry is
+    removed without an announcement. In both cases the server continues to serve.
     """
     parser = argparse.ArgumentParser(description=__doc__)
     for name in ("name", "service", "domain", "address", "store"):
         parser.add_argument(name)
     parser.add_argument("--divided", action="store_true")
-    parser.add_argument("--listen", help="where to listen, if others reach it through")
+    parser.add_argument("--listen", help="address to bind, if it differs from ADDRESS")
     parser.add_argument("--slots", type=int, default=4)
     parser.add_argument("--work-ms", type=float, default=5.0)
     options = parser.parse_args()
@@ -239,16 +259,16 @@
         options.work_ms,
     )
 
-    def leave():
+    def start_draining():
         server.draining = True
-        server._note("draining")
+        server._record("draining")
 
-    def leave_unsaid():
-        server.leaving_unsaid = True
+    def deregister():
+        server.is_deregistering = True
 
-    gevent.signal_handler(signal.SIGUSR1, leave)
-    gevent.signal_handler(signal.SIGUSR2, leave_unsaid)
-    gevent.spawn(server.beat, options.store)
+    gevent.signal_handler(signal.SIGUSR1, start_draining)
+    gevent.signal_handler(signal.SIGUSR2, deregister)
+    gevent.spawn(server.run_heartbeats, options.store)
     WebServer(options.listen or options.address, server).serve_forever()
 
 
--- a/standins/fleet_site.py
+++ b/standins/fleet_site.py
@@ -1,4 +1,4 @@
-"""Starts a fleet on loopback: the store, backend servers, and daemons."""
+"""Starts a fleet of local processes on loopback: store, backend servers and daemons."""
 
 import json
 import os
@@ -17,14 +17,14 @@
 
 __all__ = ["FleetSite", "manifest"]
 
-START_S = 20.0
+START_TIMEOUT_S = 20.0
 HOST = "desk.example"
 
 SETTINGS = """
 [self]
 node = "{name}"
 zone = "{domain}"
-{more}
+{extra_settings}
 [network]
 seeds = ["{control}"]
 [network.listen]
@@ -49,7 +49,7 @@
     ----------
     version : int
     **routes : str
-        Further prefixes and the service each goes to.
+        Further path prefixes, each with the service that it is routed to.
     """
     prefixes = {"view": "desk", "parts": "parts", **routes}
     rules = [
@@ -86,55 +86,76 @@
 
 @attrs.define(eq=False)
 class FleetSite:
-    """Processes of one fleet, ended by :meth:`close`.
+    """The processes of one fleet, which :meth:`close` ends.
 
     Parameters
     ----------
     proxy : str
         Control address of a fault-injecting proxy between the daemons and the store
         and servers; empty for none.
+    store : str
+        Listening address of the store.
+    store_address : str
+        Address at which daemons reach the store, through any proxy.
+    folder : tempfile.TemporaryDirectory
+        For settings and output of processes.
+    processes : dict of str to subprocess.Popen
+        By name.
+    daemons : dict of str to dict
+        By name, the daemon's listening addresses.
+    servers : dict of str to str
+        Listening addresses of backend servers, by name.
+    server_addresses : dict of str to str
+        Addresses at which daemons reach backend servers, through any proxy.
     """
 
     proxy: str = ""
     store: str = attrs.Factory(free_address)
-    store_link: str = attrs.field(init=False, default="")
+    store_address: str = attrs.field(init=False, default="")
     folder: object = attrs.Factory(tempfile.TemporaryDirectory)
     processes: dict = attrs.Factory(dict)
     daemons: dict = attrs.Factory(dict)
     servers: dict = attrs.Factory(dict)
-    links: dict = attrs.Factory(dict)
+    server_addresses: dict = attrs.Factory(dict)
 
     def start_store(self):
-        """Start the store's stand-in, and the proxy if there is to be one."""
+        """Start the store's stand-in, after the proxy if there is one."""
         if self.proxy:
             self._start("proxy", "-m", "standins.proxy", "--control", self.proxy)
-            self._wait_port(self.proxy)
+            self._wait_for_port(self.proxy)
         self._start("store", "-m", "standins.fleet_store", self.store)
-        self._wait_port(self.store)
-        self.store_link = self._link(self.store, "store")
+        self._wait_for_port(self.store)
+        self.store_address = self._reachable_address(self.store, "store")
 
     def start_server(self, name, service, domain, *options, address=""):
         """Start a backend server's stand-in."""
         listen = self.servers[name] = address or self.servers.get(name, free_address())
-        if name not in self.links:
-            self.links[name] = self._link(listen, name)
+        if name not in self.server_addresses:
+            self.server_addresses[name] = self._reachable_address(listen, name)
         module = ("-m", "standins.fleet_server")
         divided = ("--divided",) if service == "parts" else ()
-        arguments = (name, service, domain, self.links[name], self.store)
+        arguments = (name, service, domain, self.server_addresses[name], self.store)
         self._start(name, *module, *arguments, "--listen", listen, *divided, *options)
-        self._wait_port(listen, self.processes[name])
+        self._wait_for_port(listen, self.processes[name])
 
-    def start_daemon(self, name, domain, more=""):
-        """Start a daemon through the platform's adapter; ``more`` of its settings."""
+    def start_daemon(self, name, domain, extra_settings=""):
+        """Start a daemon of the users' platform.
+
+        Parameters
+        ----------
+        name, domain : str
+        extra_settings : str
+            TOML to append to the table ``self`` of its settings.
+        """
         if name not in self.daemons:
             self.daemons[name] = {
-                part: free_address() for part in ("front", "ready", "control")
+                listener: free_address() for listener in ("front", "ready", "control")
             }
         settings = SETTINGS.format(
             name=name,
             domain=domain,
-            store=self.store_link,
-            more=more,
+            store=self.store_address,
+            extra_settings=extra_settings,
             **self.daemons[name],
         )
         path = os.path.join(self.folder.name, f"{name}.toml")
@@ -143,26 +164,32 @@
         environment = {**os.environ, "TARRAGONRAMP_CONFIG": path}
         self._start(name, "platform/run.py", environment=environment)
 
-    def order(self, **order):
-        """Give the store's stand-in an order; return what it holds and was asked."""
-        body = json.dumps(order).encode()
+    def order(self, **command):
+        """Control the store's stand-in; return its objects and counts of calls.
+
+        Parameters
+        ----------
+        **command : object
+            ``write``, ``delete``, ``forget_history`` or ``faults``.
+        """
+        body = json.dumps(command).encode()
         result = HttpPool(self.store).exchange("POST", "/control", (), body, 2000)
         return json.loads(result.unwrap().body)
 
     def break_server(self, name, **faults):
-        """Make a server's stand-in fail so many times."""
+        """Set how many of its next requests a server's stand-in fails, by fault."""
         body = json.dumps(faults).encode()
         pool = HttpPool(self.servers[name])
         pool.exchange("POST", "/stand-in/faults", (), body, 2000).unwrap()
 
     def log_of(self, name):
-        """Return what a server's stand-in has done."""
+        """Return the log entries of a server's stand-in."""
         pool = HttpPool(self.servers[name])
         result = pool.exchange("GET", "/stand-in/log", (), b"", 2000)
         return json.loads(result.unwrap().body)
 
     def runs(self):
-        """Return how often each request ran, over all living servers."""
+        """Return how often each request was executed, over all running servers."""
         counts = {}
         for name in self.servers:
             if self.processes[name].poll() is None:
@@ -171,11 +198,11 @@
                         counts[entry[2]] = counts.get(entry[2], 0) + 1
         return counts
 
-    def call(self, daemon, path, named, key=None, method="GET", patience_ms=1500):
-        """Send one request to a daemon; an Answer, or None without one."""
+    def call(self, daemon, path, request_id, key=None, method="GET", patience_ms=1500):
+        """Send one request to a daemon; return its Response, or None without one."""
         headers = [
             ("Host", HOST),
-            ("Request-Id", named),
+            ("Request-Id", request_id),
             ("Deadline-Ms", str(patience_ms)),
         ]
         if key is not None:
@@ -187,41 +214,41 @@
         return result.value_or(None)
 
     def is_ready(self, daemon):
-        """Tell whether a daemon says that it takes callers."""
+        """Tell whether a daemon reports that it accepts callers."""
         pool = HttpPool(self.daemons[daemon]["ready"])
         result = pool.exchange("GET", "/-/ready", (), b"", 500)
-        answer = result.value_or(None)
-        return answer is not None and answer.status == 200
+        response = result.value_or(None)
+        return response is not None and response.status == 200
 
     def wait_ready(self, *daemons):
-        """Wait until daemons take callers."""
+        """Wait until daemons report that they accept callers."""
         self.wait(lambda: all(map(self.is_ready, daemons)), "daemons ready")
 
-    def wait(self, condition, what, timeout_s=START_S):
-        """Wait until a condition holds."""
+    def wait(self, condition, awaited, timeout_s=START_TIMEOUT_S):
+        """Wait until a condition holds; ``awaited`` names it in the TimeoutError."""
         until_s = time.monotonic() + timeout_s
         while not condition():
             if time.monotonic() > until_s:
-                raise TimeoutError(f"{what}: not within {timeout_s} s")
+                raise TimeoutError(f"{awaited}: not within {timeout_s} s")
             time.sleep(0.05)
 
     def signal(self, name, number):
-        """Send a process of this site a signal."""
+        """Send a signal to a process of this site."""
         self.processes[name].send_signal(number)
 
     def kill(self, name):
-        """End a process of this site at once."""
+        """Kill a process of this site and wait until it has ended."""
         self.processes[name].kill()
         self.processes[name].wait()
 
     def log_text(self, name):
-        """Return what a process has written."""
+        """Return the output of a process."""
         path = os.path.join(self.folder.name, f"{name}.log")
         with open(path, encoding="utf-8", errors="replace") as stream:
             return stream.read()
 
     def close(self):
-        """End all processes."""
+        """Kill all processes and remove their files."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -230,21 +257,26 @@
         self.folder.cleanup()
 
     def set_faults(self, *faults):
-        """Let some links suffer, in place of those that did; see ``standins.proxy``."""
-        self._tell_proxy("faults", [attrs.asdict(fault) for fault in faults])
+        """Replace the active faults of the proxy.
+
+        Parameters
+        ----------
+        *faults : standins.proxy.Fault
+        """
+        self._control_proxy("faults", [attrs.asdict(fault) for fault in faults])
 
-    def _link(self, address, name):
-        """Return where others reach a process: through the proxy, if there is one."""
+    def _reachable_address(self, address, name):
+        """Return the address at which others reach a process, through any proxy."""
         if not self.proxy:
             return address
         listen = free_address()
         link = {"listen": listen, "target_address": address, "target": name}
-        self._tell_proxy("links", [link])
+        self._control_proxy("links", [link])
         return listen
 
-    def _tell_proxy(self, what, payload):
+    def _control_proxy(self, resource, payload):
         body = json.dumps(payload).encode()
-        HttpPool(self.proxy).exchange("POST", f"/{what}", (), body, 5000).unwrap()
+        HttpPool(self.proxy).exchange("POST", f"/{resource}", (), body, 5000).unwrap()
 
     def _start(self, name, *arguments, environment=None):
         path = os.path.join(self.folder.name, f"{name}.log")
@@ -256,15 +288,15 @@
                 env=environment,
             )
         if self.proxy and name != "proxy":
-            self._tell_proxy("pids", {name: self.processes[name].pid})
+            self._control_proxy("pids", {name: self.processes[name].pid})
 
-    def _wait_port(self, address, process=None):
-        """Wait until a process listens; EnvironmentError at once if it ends before."""
+    def _wait_for_port(self, address, process=None):
+        """Wait until a process listens; raise ChildProcessError if it ends before."""
         host, _, port = address.rpartition(":")
 
         def listens():
             if process is not None and process.poll() is not None:
-                raise ChildProcessError(f"{address}: ended with {process.poll()}")
+                raise ChildProcessError(f"{address}: exit code {process.poll()}")
             with socket.socket() as probe:
                 return probe.connect_ex((host, int(port))) == 0
 
--- a/standins/fleet_store.py
+++ b/standins/fleet_store.py
@@ -1,4 +1,7 @@
-"""A stand-in for the users' metadata store, as their pages describe it, with faults."""
+"""A stand-in for the users' metadata store, with fault injection.
+
+It follows the users' documentation of the store.
+"""
 
 from gevent import monkey
 
@@ -17,24 +20,24 @@
 
 PREFIX = "/-/objects/"
 CONTROL = "/control"
-PAGE = 500
+PAGE_SIZE = 500
 FIRST_REVISION = 100
 
 
 @attrs.define
 class StoreFaults:
-    """What goes wrong at the moment.
+    """Faults that are active now.
 
     Parameters
     ----------
     down : bool
-        Answer nothing but 503.
+        Respond to every call with 503.
     lose_answers : int
-        So many writes take effect without an answer.
+        Number of further writes that are applied without a response.
     lose_watches : int
-        So many watches that have something to tell stay silent for good.
+        Number of further watches that never respond, once they have events to return.
     delay_ms : float
-        Before every answer.
+        Delay of every response.
     """
 
     down: bool = False
@@ -45,10 +48,25 @@
 
 @attrs.define(eq=False, repr=False)
 class FleetStore:
-    """Objects by kind and name, one counter of revisions, and watches."""
+    """Objects by kind and name with one revision counter, and watches of changes.
+
+    Parameters
+    ----------
+    revision : int
+        Of the last change.
+    oldest_revision : int
+        Watches from earlier revisions are refused, as their events are gone.
+    kinds : dict of str to dict
+        Objects by kind and name.
+    events : list of (int, str, dict)
+        Revision, kind and event of each change.
+    calls : dict of str to int
+        Number of calls, by purpose and kind.
+    faults : StoreFaults
+    """
 
     revision: int = FIRST_REVISION
-    oldest: int = FIRST_REVISION
+    oldest_revision: int = FIRST_REVISION
     kinds: dict = attrs.Factory(dict)
     events: list = attrs.Factory(list)
     calls: dict = attrs.Factory(dict)
@@ -56,7 +74,7 @@
     _changed: Event = attrs.Factory(Event)
 
     def __call__(self, environ, start_response):
-        """Serve one call."""
+        """Handle one call."""
         path, method = environ["PATH_INFO"], environ["REQUEST_METHOD"]
         body = environ["wsgi.input"].read()
         if path == CONTROL:
@@ -71,15 +89,15 @@
         if self.faults.down:
             return _reply(start_response, 503, {})
         raw = json.loads(body) if body else {}
-        status, answer = self._serve(method, kind, rest, query, raw)
-        is_lost = self._is_lost(method, query, status)
-        if is_lost:
-            # Nothing more comes on this connection, and it is not closed either.
+        status, payload = self._serve(method, kind, rest, query, raw)
+        drops_response = self._drops_response(method, query, status)
+        if drops_response:
+            # The connection stays open without a response.
             environ[SOCKET_KEY].settimeout(None)
             gevent.sleep(60.0)
-        return _reply(start_response, status, answer)
+        return _reply(start_response, status, payload)
 
-    def _is_lost(self, method, query, status):
+    def _drops_response(self, method, query, status):
         if method != "GET" and self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             return True
@@ -89,15 +107,15 @@
         return False
 
     def _serve(self, method, kind, rest, query, raw):
-        name, _, part = rest.partition("/")
+        name, _, subresource = rest.partition("/")
         name = urllib.parse.unquote(name)
         objects = self.kinds.setdefault(kind, {})
         if method == "GET" and "watch" in query:
             return self._watch(kind, int(query["watch"]), float(query["waitMs"]))
         if method == "GET" and not name:
             names = sorted(n for n in objects if n > query.get("after", ""))
-            items = [objects[n] for n in names[:PAGE]]
-            more = len(names) > PAGE
+            items = [objects[n] for n in names[:PAGE_SIZE]]
+            more = len(names) > PAGE_SIZE
             return 200, {
                 "items": items,
                 "hasMore": more,
@@ -120,12 +138,12 @@
         if method == "DELETE":
             self.delete(kind, name)
             return 200, {}
-        if part == "status":
+        if subresource == "status":
             return 200, self.write(kind, name, current["spec"], raw["status"])
         return 200, self.write(kind, name, raw["spec"])
 
     def write(self, kind, name, spec, status=None):
-        """Create or replace an object and tell the watches."""
+        """Create or replace an object and notify the watches."""
         objects = self.kinds.setdefault(kind, {})
         before = objects.get(name)
         if before and (before["spec"], before["status"]) == (spec, status):
@@ -140,37 +158,37 @@
             "deleting": False,
         }
         objects[name] = {"meta": meta, "spec": spec, "status": status}
-        self._tell(kind, objects[name], False)
+        self._publish(kind, objects[name], False)
         return objects[name]
 
     def delete(self, kind, name):
-        """Remove an object and tell the watches."""
-        gone = self.kinds.get(kind, {}).pop(name, None)
-        if gone is None:
+        """Remove an object and notify the watches."""
+        removed = self.kinds.get(kind, {}).pop(name, None)
+        if removed is None:
             return
         self.revision += 1
-        gone["meta"]["rev"] = self.revision
-        self._tell(kind, gone, True)
+        removed["meta"]["rev"] = self.revision
+        self._publish(kind, removed, True)
 
     def forget_history(self):
-        """Drop all events: watches from before get 410."""
-        self.oldest = self.revision
+        """Drop all events, so that watches from earlier revisions get 410."""
+        self.oldest_revision = self.revision
         self.events.clear()
-        self._wake()
+        self._notify_watchers()
 
-    def _tell(self, kind, item, deleted):
+    def _publish(self, kind, item, deleted):
         event = {"deleted": deleted, "object": json.loads(json.dumps(item))}
         self.events.append((self.revision, kind, event))
-        self._wake()
+        self._notify_watchers()
 
-    def _wake(self):
+    def _notify_watchers(self):
         changed, self._changed = self._changed, Event()
         changed.set()
 
     def _watch(self, kind, since, wait_ms):
         until_s = time.monotonic() + wait_ms / 1000.0
         while True:
-            if since < self.oldest:
+            if since < self.oldest_revision:
                 return 410, {}
             found = [e for rev, k, e in self.events if k == kind and rev > since]
             left_s = until_s - time.monotonic()
@@ -179,21 +197,21 @@
             self._changed.wait(left_s)
 
     def _control(self, body, start_response):
-        order = json.loads(body)
-        if "write" in order:
-            self.write(*order["write"])
-        if "delete" in order:
-            self.delete(*order["delete"])
-        if order.get("forget_history"):
+        command = json.loads(body)
+        if "write" in command:
+            self.write(*command["write"])
+        if "delete" in command:
+            self.delete(*command["delete"])
+        if command.get("forget_history"):
             self.forget_history()
-        for name, value in order.get("faults", {}).items():
+        for name, value in command.get("faults", {}).items():
             setattr(self.faults, name, value)
-        answer = {"calls": self.calls, "objects": self.kinds}
-        return _reply(start_response, 200, answer)
+        payload = {"calls": self.calls, "objects": self.kinds}
+        return _reply(start_response, 200, payload)
 
 
-def _reply(start_response, status, answer):
-    body = json.dumps(answer).encode()
+def _reply(start_response, status, payload):
+    body = json.dumps(payload).encode()
     start_response(f"{status} Status", [("Content-Length", str(len(body)))])
     return [body]
 
