--- a/soak/checks.py
+++ b/soak/checks.py
@@ -1,40 +1,44 @@
-"""What must hold, judged by what callers got and what servers did."""
+"""Checks a run against its invariants, by callers' outcomes and servers' event logs."""
 
 import collections
 
 import attrs
 
-__all__ = ["Outcome", "Probe", "Run", "find_faults"]
+__all__ = ["Outcome", "Probe", "RunRecord", "find_violations"]
 
-PROMISES_NOT_RUN = frozenset((408, 421, 429, 503))
-DRAIN_MS = 2500.0
-"""After a server said that it leaves: two seconds, and half a one more for the way."""
+NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
+DRAIN_PROPAGATION_MS = 2500.0
+"""How long after a server announced that it drains it may still get new requests: the
+two seconds within which daemons have to know, and 500 ms for the announcement to reach
+the store."""
 
-HELD_TWICE_MS = 5.0
-"""Two processes may note the same moment a little apart."""
+OVERLAP_TOLERANCE_MS = 5.0
+"""Holds of two servers may overlap by this: processes log the same instant at slightly
+different times."""
 
-HEALED_MS = 6000.0
-"""After the store is well again a lost answer to a watch may still hide a change: until
-the watch ends."""
+STORE_RECOVERY_MS = 6000.0
+"""How long after a fault of the store has ended daemons may still lack a change: the
+response to a watch may have been lost, which shows only when the watch times out."""
 
 
 @attrs.frozen
 class Outcome:
-    """What one caller got.
+    """Result of one request as its caller saw it.
 
     Parameters
     ----------
-    named : str
-        The request's id.
-    method, path : str
+    request_id, method, path : str
     sent_ms, answered_ms : float
         Unix time.
     status : int
-        0 if there was no whole answer.
+        HTTP status; 0 without a complete response.
     body : bytes
+        Of the response.
+    daemon : str
+        The daemon that the request was sent to.
     """
 
-    named: str
+    request_id: str
     method: str
     path: str
     sent_ms: float
@@ -46,16 +50,16 @@
 
 @attrs.frozen
 class Probe:
-    """What a daemon said to a request on a route that had just been added.
+    """A daemon's response to a request for a route that was just added.
 
     Parameters
     ----------
     daemon : str
     route : str
     added_ms, sent_ms : float
-        Unix time: when the store had the route, and when the request was sent.
+        Unix time at which the store had the route, and at which the request was sent.
     status : int
-        0 if there was no answer.
+        HTTP status; 0 without a response.
     """
 
     daemon: str
@@ -66,176 +70,206 @@
 
 
 @attrs.define
-class Run:
-    """All that a run has shown.
+class RunRecord:
+    """Everything that was recorded of a run. Times are Unix times in milliseconds.
 
     Parameters
     ----------
     outcomes : list of Outcome
-    entries : list
-        Of all servers: name, life, what, Unix time in ms, details.
-    ends : list of (str, float)
-        Servers that were killed, and when.
+    entries : list of list
+        Event logs of all servers: name, life, event, time, details.
+    kills : list of (str, float)
+        Name of each server that was killed, and when.
     probes : list of Probe
-    store_ill : list of (float, float)
-        From when until when the store, or everybody's way to it, did not work as it
-        should.
-    daemons_ill : list of (str, float, float)
-        The same for single daemons, by name: frozen, or cut off from the store.
-    links_ill : list of (str, float, float)
-        The same for links to servers, by server: requests are held up there.
+    store_faults : list of (float, float)
+        Start and end of faults of the store, or of all daemons' links to it.
+    daemon_faults : list of (str, float, float)
+        Name of a daemon that was paused or cut off from the store; start and end.
+    link_faults : list of (str, float, float)
+        Name of a server to which links were faulty, so that requests may have been
+        delayed on the way; start and end.
     """
 
     outcomes: list = attrs.Factory(list)
     entries: list = attrs.Factory(list)
-    ends: list = attrs.Factory(list)
+    kills: list = attrs.Factory(list)
     probes: list = attrs.Factory(list)
-    store_ill: list = attrs.Factory(list)
-    daemons_ill: list = attrs.Factory(list)
-    links_ill: list = attrs.Factory(list)
+    store_faults: list = attrs.Factory(list)
+    daemon_faults: list = attrs.Factory(list)
+    link_faults: list = attrs.Factory(list)
+
+
+def find_violations(run):
+    """Run all checks.
 
+    Parameters
+    ----------
+    run : RunRecord
 
-def find_faults(run):
-    """Return every broken promise: a dict of lists of str, empty where it held."""
-    runs = collections.defaultdict(list)
-    for name, _, what, at_ms, *details in run.entries:
-        if what == "run":
-            runs[details[0]].append((name, at_ms, details[1]))
+    Returns
+    -------
+    violations : dict of str to list of str
+        By name of the check; an empty list if there are none.
+    """
+    executions = collections.defaultdict(list)
+    for name, _, event, at_ms, *details in run.entries:
+        if event == "run":
+            executions[details[0]].append((name, at_ms, details[1]))
     return {
-        "at most once": _at_most_once(runs),
-        "not run is true": _not_run(run.outcomes, runs),
-        "whole answers": _whole(run.outcomes, runs),
+        "at most once": _at_most_once(executions),
+        "not run is true": _not_executed(run.outcomes, executions),
+        "complete responses": _complete_responses(run.outcomes, executions),
         "one owner": _one_owner(run),
-        "tokens only rise": _tokens(run.entries),
-        "leaving servers get no new work": _drained(run),
-        "new routes are in force": _in_force(run),
+        "increasing tokens": _increasing_tokens(run.entries),
+        "leaving servers get no new work": _no_late_work(run),
+        "new routes are in force": _missing_routes(run),
     }
 
 
-def _at_most_once(runs):
+def _at_most_once(executions):
     return [
-        f"{named}: {tries}"
-        for named, tries in runs.items()
+        f"{request_id}: {tries}"
+        for request_id, tries in executions.items()
         if len(tries) > 1 and tries[0][2] not in ("GET", "HEAD")
     ]
 
 
-def _not_run(outcomes, runs):
+def _not_executed(outcomes, executions):
     return [
-        f"{o.named}: {o.status}, but {runs[o.named]}"
+        f"{o.request_id}: {o.status}, but {executions[o.request_id]}"
         for o in outcomes
-        if o.status in PROMISES_NOT_RUN and o.method == "POST" and o.named in runs
+        if o.status in NOT_RUN_STATUSES
+        and o.method == "POST"
+        and o.request_id in executions
     ]
 
 
-def _whole(outcomes, runs):
-    faults = []
+def _complete_responses(outcomes, executions):
+    violations = []
     for o in outcomes:
         if o.status != 200:
             continue
-        servers = {name for name, _, _ in runs.get(o.named, ())}
-        words = o.body.decode("utf-8", "replace").split(" ")
-        if len(words) != 3 or words[0] not in servers or words[1] != o.path:
-            faults.append(f"{o.named}: {o.body[:80]!r} of {sorted(servers)}")
-    return faults
+        executed_on = {name for name, _, _ in executions.get(o.request_id, ())}
+        parts = o.body.decode("utf-8", "replace").split(" ")
+        if len(parts) != 3 or parts[0] not in executed_on or parts[1] != o.path:
+            violations.append(
+                f"{o.request_id}: {o.body[:80]!r} of {sorted(executed_on)}"
+            )
+    return violations
 
 
-def _holds(run):
-    """Return by range when each life of a server held it: (from, to, server, life)."""
-    open_until, holds = {}, collections.defaultdict(list)
-    ends = sorted(run.ends, key=lambda end: end[1])
+def _hold_periods(run):
+    """Return the periods in which servers held each range: (from, to, server, life).
+
+    A hold ends with its release, with its expiry, or when its server is killed.
+    """
+    open_holds, periods = {}, collections.defaultdict(list)
+    kills = sorted(run.kills, key=lambda kill: kill[1])
 
     def close(key, at_ms):
-        since_ms, until_ms = open_until.pop(key)
+        since_ms, until_ms = open_holds.pop(key)
         (server, life), keys = key
-        killed = [ms for name, ms in ends if name == server and ms >= since_ms]
+        killed = [ms for name, ms in kills if name == server and ms >= since_ms]
         until_ms = min([until_ms, at_ms, *killed[:1]])
-        holds[keys].append((since_ms, until_ms, server, life))
+        periods[keys].append((since_ms, until_ms, server, life))
 
-    for server, life, what, at_ms, *details in sorted(run.entries, key=lambda e: e[3]):
-        if what not in ("grant", "release"):
+    for server, life, event, at_ms, *details in sorted(run.entries, key=lambda e: e[3]):
+        if event not in ("grant", "release"):
             continue
         key = (server, life), tuple(details[:2])
-        if what == "release":
-            if key in open_until:
+        if event == "release":
+            if key in open_holds:
                 close(key, at_ms)
             continue
         until_ms = at_ms + details[3]
-        if key in open_until and open_until[key][1] >= at_ms:
-            open_until[key] = open_until[key][0], until_ms
+        if key in open_holds and open_holds[key][1] >= at_ms:
+            open_holds[key] = open_holds[key][0], until_ms
             continue
-        if key in open_until:
+        if key in open_holds:
             close(key, at_ms)
-        open_until[key] = at_ms, until_ms
-    for key in list(open_until):
+        open_holds[key] = at_ms, until_ms
+    for key in list(open_holds):
         close(key, float("inf"))
-    return holds
+    return periods
 
 
 def _one_owner(run):
-    faults = []
-    for keys, held in _holds(run).items():
+    violations = []
+    for keys, held in _hold_periods(run).items():
         held.sort()
         latest = None
         for item in held:
-            other = latest is not None and latest[2:] != item[2:]
-            if other and latest[1] > item[0] + HELD_TWICE_MS:
-                faults.append(f"{keys}: {latest} and {item}")
+            is_other_owner = latest is not None and latest[2:] != item[2:]
+            if is_other_owner and latest[1] > item[0] + OVERLAP_TOLERANCE_MS:
+                violations.append(f"{keys}: {latest} and {item}")
             if latest is None or item[1] > latest[1]:
                 latest = item
-    return faults
+    return violations
 
 
-def _tokens(entries):
-    faults, highest = [], {}
-    for server, life, what, _, *details in sorted(entries, key=lambda e: e[3]):
-        if what != "grant":
+def _increasing_tokens(entries):
+    violations, highest = [], {}
+    for server, life, event, _, *details in sorted(entries, key=lambda e: e[3]):
+        if event != "grant":
             continue
         first, last, token, _ = details
-        holder, top = highest.get((first, last), ((server, life), 0))
-        if holder != (server, life) and token <= top:
-            faults.append(f"{first}-{last}: {token} at {server}, {top} at {holder}")
-        if token > top:
+        owner, highest_token = highest.get((first, last), ((server, life), 0))
+        if owner != (server, life) and token <= highest_token:
+            violations.append(
+                f"{first}-{last}: {token} at {server}, {highest_token} at {owner}"
+            )
+        if token > highest_token:
             highest[first, last] = (server, life), token
-    return faults
+    return violations
 
 
-def _drained(run):
-    leaving = {
+def _no_late_work(run):
+    draining_since_ms = {
         (server, life): at_ms
-        for server, life, what, at_ms, *_ in run.entries
-        if what == "draining"
+        for server, life, event, at_ms, *_ in run.entries
+        if event == "draining"
     }
-    senders = {outcome.named: outcome.daemon for outcome in run.outcomes}
-    faults = []
-    for server, life, what, at_ms, *details in run.entries:
-        since_ms = leaving.get((server, life))
-        if what != "run" or since_ms is None or at_ms <= since_ms + DRAIN_MS:
+    senders = {outcome.request_id: outcome.daemon for outcome in run.outcomes}
+    violations = []
+    for server, life, event, at_ms, *details in run.entries:
+        since_ms = draining_since_ms.get((server, life))
+        if (
+            event != "run"
+            or since_ms is None
+            or at_ms <= since_ms + DRAIN_PROPAGATION_MS
+        ):
             continue
         daemon = senders.get(details[0], "")
-        ill = _news_held_up(run, daemon)
-        ill += [(a, b + DRAIN_MS) for name, a, b in run.links_ill if name == server]
-        if not _overlaps(ill, since_ms, at_ms):
-            late = f"after {at_ms - since_ms:.0f} ms"
-            faults.append(f"{details[0]} of {daemon} at {server} {late}")
-    return faults
-
-
-def _in_force(run):
+        exempt_spans = _update_delays(run, daemon)
+        exempt_spans += [
+            (a, b + DRAIN_PROPAGATION_MS)
+            for name, a, b in run.link_faults
+            if name == server
+        ]
+        if not _overlaps(exempt_spans, since_ms, at_ms):
+            delay = f"after {at_ms - since_ms:.0f} ms"
+            violations.append(f"{details[0]} of {daemon} at {server} {delay}")
+    return violations
+
+
+def _missing_routes(run):
     return [
         f"{probe.route} of {probe.daemon} after {probe.sent_ms - probe.added_ms:.0f} ms"
         for probe in run.probes
         if probe.status == 404
         and not _overlaps(
-            _news_held_up(run, probe.daemon), probe.added_ms, probe.sent_ms
+            _update_delays(run, probe.daemon), probe.added_ms, probe.sent_ms
         )
     ]
 
 
-def _news_held_up(run, daemon):
-    """Return when a daemon may not have heard of changes: spans in ms."""
-    ill = [*run.store_ill, *((a, b) for d, a, b in run.daemons_ill if d == daemon)]
-    return [(from_ms, to_ms + HEALED_MS) for from_ms, to_ms in ill]
+def _update_delays(run, daemon):
+    """Return the spans of time in which a daemon may lack recent changes."""
+    fault_spans = [
+        *run.store_faults,
+        *((a, b) for d, a, b in run.daemon_faults if d == daemon),
+    ]
+    return [(from_ms, to_ms + STORE_RECOVERY_MS) for from_ms, to_ms in fault_spans]
 
 
 def _overlaps(spans, from_ms, to_ms):
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which faults strike when: drawn from a seed, so that a run can be made again."""
+"""Generates the schedule of faults of a run from a seed, so that it can be repeated."""
 
 import random
 
@@ -7,10 +7,10 @@
 __all__ = [
     "DAEMONS",
     "DOMAINS",
-    "FIRST_NEWER_SEED",
+    "FIRST_EXTENDED_SEED",
     "SERVERS",
-    "Strike",
-    "draw_plan",
+    "FaultEvent",
+    "generate_plan",
 ]
 
 DOMAINS = ("a", "b")
@@ -25,32 +25,36 @@
 SERVER_FAULTS = ("shed", "lose", "truncate", "foreign", "unmarked", "silent_grants")
 STORE_FAULTS = ("down", "delay_ms", "lose_answers", "lose_watches", "forget")
 
-FIRST_NEWER_SEED = 1_000_000
-"""Plans of lower seeds are drawn from the first kinds of strikes only, so that kept
-seeds play what they always played."""
+FIRST_EXTENDED_SEED = 1_000_000
+"""First seed whose plans include the kinds of events that were added later. Plans of
+lower seeds are generated from the original kinds only, so that the seeds kept for
+regression still produce the same plans."""
 
-LONGEST_MS = 5000.0
-"""Longest single fault; longer than a lease of the leader and shorter than a hold."""
+MAX_DURATION_MS = 5000.0
+"""Maximum duration of a fault: longer than a leader's lease, shorter than a hold."""
 
-SERIES = 3
-"""Most strikes of one kind in a row: stops, restarts and changes come in series."""
+MAX_SERIES_LENGTH = 3
+"""Maximum number of consecutive events of one kind, as in a rolling restart or a series
+of configuration changes."""
 
 
 @attrs.frozen
-class Strike:
-    """One thing that goes wrong, or that operators do.
+class FaultEvent:
+    """A scheduled fault or operator action.
 
     Parameters
     ----------
     at_ms : float
-        From the beginning of the run.
+        Time since the start of the run.
     kind : str
+        Selects the method of ``Soak`` that carries it out.
     name : str
-        The process it strikes; for a link the one that connects, ``*`` for all.
-    for_ms : float
-        Until it ends; 0 if it ends by itself.
+        The affected process; for a link the connecting one, or ``*`` for all daemons.
+        ``leader`` stands for the daemon that leads at that time.
+    duration_ms : float
+        0 if the event ends by itself.
     detail : str
-        Of a link or server fault.
+        Kind of a link, server or store fault, or how a server leaves.
     target : str
         The process that a link leads to.
     """
@@ -58,109 +62,121 @@
     at_ms: float
     kind: str
     name: str = ""
-    for_ms: float = 0.0
+    duration_ms: float = 0.0
     detail: str = ""
     target: str = ""
 
 
-def draw_plan(seed, length_ms, mean_gap_ms=1200.0):
-    """Return the strikes of a run, in the order of their times.
+def generate_plan(seed, run_ms, mean_gap_ms=1200.0):
+    """Return the events of a run, ordered by time.
 
     Parameters
     ----------
     seed : int
-    length_ms : float
-        No strike begins or lasts longer than this.
+    run_ms : float
+        Duration of the run. No event starts or ends after it.
     mean_gap_ms : float
-        Between two series of strikes; they overlap freely.
+        Mean time between two series of events, which may overlap.
     """
-    rng, strikes, at_ms = random.Random(seed), [], 500.0
-    draws = _DRAWS if seed < FIRST_NEWER_SEED else _DRAWS + _NEWER_DRAWS
-    while at_ms < length_ms:
-        draw = rng.choice(draws)
-        for _ in range(rng.randint(1, SERIES) if rng.random() < 0.3 else 1):
-            strike = draw(rng, at_ms)
-            left_ms = max(0.0, length_ms - strike.at_ms)
-            strikes.append(attrs.evolve(strike, for_ms=min(strike.for_ms, left_ms)))
+    rng, events, at_ms = random.Random(seed), [], 500.0
+    generators = (
+        _GENERATORS if seed < FIRST_EXTENDED_SEED else _GENERATORS + _ADDED_GENERATORS
+    )
+    while at_ms < run_ms:
+        generate = rng.choice(generators)
+        for _ in range(rng.randint(1, MAX_SERIES_LENGTH) if rng.random() < 0.3 else 1):
+            event = generate(rng, at_ms)
+            left_ms = max(0.0, run_ms - event.at_ms)
+            events.append(
+                attrs.evolve(event, duration_ms=min(event.duration_ms, left_ms))
+            )
             at_ms += rng.uniform(50.0, 600.0)
         at_ms += rng.expovariate(1.0) * mean_gap_ms
-    return [strike for strike in strikes if strike.at_ms < length_ms]
+    return [event for event in events if event.at_ms < run_ms]
 
 
-def _daemon(kind, shortest_ms):
-    def draw(rng, at_ms):
-        for_ms = rng.uniform(shortest_ms, LONGEST_MS)
-        return Strike(at_ms, kind, rng.choice([*DAEMONS, "leader"]), for_ms)
+def _daemon_event(kind, min_duration_ms):
+    def generate(rng, at_ms):
+        duration_ms = rng.uniform(min_duration_ms, MAX_DURATION_MS)
+        return FaultEvent(at_ms, kind, rng.choice([*DAEMONS, "leader"]), duration_ms)
 
-    return draw
+    return generate
 
 
-def _server(kind):
-    def draw(rng, at_ms):
-        for_ms = rng.uniform(300.0, LONGEST_MS)
-        return Strike(at_ms, kind, rng.choice(list(SERVERS)), for_ms)
+def _server_event(kind):
+    def generate(rng, at_ms):
+        duration_ms = rng.uniform(300.0, MAX_DURATION_MS)
+        return FaultEvent(at_ms, kind, rng.choice(list(SERVERS)), duration_ms)
 
-    return draw
+    return generate
 
 
 def _server_fault(rng, at_ms):
     name = rng.choice(list(SERVERS))
-    for_ms = rng.uniform(300.0, LONGEST_MS)
-    return Strike(at_ms, "misbehave", name, for_ms, rng.choice(SERVER_FAULTS))
+    duration_ms = rng.uniform(300.0, MAX_DURATION_MS)
+    return FaultEvent(at_ms, "misbehave", name, duration_ms, rng.choice(SERVER_FAULTS))
 
 
-def _link(rng, at_ms):
+def _link_fault(rng, at_ms):
     target = rng.choice(["store", *SERVERS])
     source = rng.choice(["*", *DAEMONS])
-    for_ms = rng.uniform(300.0, LONGEST_MS)
-    return Strike(at_ms, "link", source, for_ms, rng.choice(LINK_FAULTS), target)
+    duration_ms = rng.uniform(300.0, MAX_DURATION_MS)
+    return FaultEvent(
+        at_ms, "link", source, duration_ms, rng.choice(LINK_FAULTS), target
+    )
 
 
-def _store(rng, at_ms):
-    for_ms = rng.uniform(300.0, LONGEST_MS)
-    return Strike(at_ms, "store", "store", for_ms, rng.choice(STORE_FAULTS))
+def _store_fault(rng, at_ms):
+    duration_ms = rng.uniform(300.0, MAX_DURATION_MS)
+    return FaultEvent(at_ms, "store", "store", duration_ms, rng.choice(STORE_FAULTS))
 
 
 def _take_out(rng, at_ms):
-    for_ms = rng.uniform(1000.0, LONGEST_MS)
-    return Strike(at_ms, "take-out", rng.choice(DOMAINS), for_ms)
+    duration_ms = rng.uniform(1000.0, MAX_DURATION_MS)
+    return FaultEvent(at_ms, "take-out", rng.choice(DOMAINS), duration_ms)
 
 
 def _kill_all(rng, at_ms):
-    return Strike(at_ms, "kill-all", "*", rng.uniform(100.0, 1500.0))
+    return FaultEvent(at_ms, "kill-all", "*", rng.uniform(100.0, 1500.0))
 
 
 def _manifest(rng, at_ms):
-    return Strike(at_ms, "manifest", "", 0.0)
+    return FaultEvent(at_ms, "manifest", "", 0.0)
 
 
-_DRAWS = (
-    _daemon("kill", 100.0),
-    _daemon("freeze", 300.0),
-    _daemon("stop", 100.0),
-    _server("kill"),
-    _server("freeze"),
-    _server("leave"),
+_GENERATORS = (
+    _daemon_event("kill", 100.0),
+    _daemon_event("freeze", 300.0),
+    _daemon_event("stop", 100.0),
+    _server_event("kill"),
+    _server_event("freeze"),
+    _server_event("leave"),
     _server_fault,
-    _link,
-    _link,
-    _store,
-    _store,
+    _link_fault,
+    _link_fault,
+    _store_fault,
+    _store_fault,
     _take_out,
     _kill_all,
     _manifest,
 )
 
 
-def _leave_unsaid(rng, at_ms):
-    for_ms = rng.uniform(300.0, LONGEST_MS)
-    return Strike(at_ms, "leave", rng.choice(list(SERVERS)), for_ms, "unsaid")
+def _deregister(rng, at_ms):
+    duration_ms = rng.uniform(300.0, MAX_DURATION_MS)
+    return FaultEvent(at_ms, "leave", rng.choice(list(SERVERS)), duration_ms, "unsaid")
 
 
-def _deaf_leader(rng, at_ms):
-    for_ms = rng.uniform(1000.0, LONGEST_MS)
+def _leader_without_store(rng, at_ms):
+    duration_ms = rng.uniform(1000.0, MAX_DURATION_MS)
     kind = rng.choice(LINK_FAULTS)
-    return Strike(at_ms, "link", "leader", for_ms, kind, "store")
+    return FaultEvent(at_ms, "link", "leader", duration_ms, kind, "store")
 
 
-_NEWER_DRAWS = (_leave_unsaid, _leave_unsaid, _deaf_leader, _deaf_leader, _manifest)
+_ADDED_GENERATORS = (
+    _deregister,
+    _deregister,
+    _leader_without_store,
+    _leader_without_store,
+    _manifest,
+)
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,6 +1,6 @@
-"""Runs the soak: ``python -m soak.run --seeds 1 2 3`` or ``--fresh 4``.
+"""Runs the soak test: ``python -m soak.run --seeds 1 2 3`` or ``--fresh 4``.
 
-Ends only processes that it has started itself.
+Only processes that it has started itself are killed.
 """
 
 from gevent import monkey
@@ -26,72 +26,86 @@
 from tarragonramp.adapters.http import HttpPool  # noqa: E402
 from tarragonramp.manifest import N_KEYS  # noqa: E402
 
-from .checks import Outcome, Probe, Run, find_faults  # noqa: E402
-from .plan import DAEMONS, FIRST_NEWER_SEED, SERVERS, draw_plan  # noqa: E402
+from .checks import Outcome, Probe, RunRecord, find_violations  # noqa: E402
+from .plan import DAEMONS, FIRST_EXTENDED_SEED, SERVERS, generate_plan  # noqa: E402
 
 __all__ = ["Soak", "main"]
 
-SETTLE_S = 25.0
-"""Until every key is served again after the last fault: a hold, the time in which
-grants without an answer may be carried out, and a change of the leader."""
+RECOVERY_TIMEOUT_S = 25.0
+"""Time limit for serving every key again after the last fault. It covers a hold, the
+time in which unanswered grants may still be applied, and a change of leader."""
 
 N_CALLERS = 8
 PAUSE_MS = 40.0
-MANY = 10_000
-IN_FORCE_S = 2.0
+UNLIMITED = 10_000
+ROUTE_PROPAGATION_S = 2.0
 SEEDS_FILE = "soak/seeds.txt"
-KEPT_LOGS = "out/soak"
+LOG_FOLDER = "out/soak"
 
 READY_LINE = "event=daemon-ready"
-"""Until a daemon has said so it may not have taken up its signals yet: it serves
-nobody, and ends at once if it is stopped."""
+"""Logged by a daemon once it is ready. Before that it serves no callers, and it may not
+have installed its signal handlers yet, so that SIGTERM ends it at once."""
 
 
 @attrs.define(eq=False)
 class Soak:
-    """One run with one seed.
+    """One run of the soak test with one seed.
 
     Parameters
     ----------
     seed : int
     length_s : float
-        For which faults strike; serving again is waited for after that.
+        Duration of the faults, after which the fleet has to recover.
+    site : FleetSite
+    record : RunRecord
+    version : int
+        Of the latest manifest.
+    active_link_faults : list of Fault
+    stopping : bool
+        Ends the callers.
+    n_calls : int
+    anomalies : list of str
+        Unexpected errors of processes.
+    log_offsets : dict of str to int
+        Length of a daemon's log when it was last started, by name.
+    starting : set of str
+        Servers that are being started.
     """
 
     seed: int
     length_s: float
     site: FleetSite = attrs.Factory(lambda: FleetSite(proxy=free_address()))
-    seen: Run = attrs.Factory(Run)
+    record: RunRecord = attrs.Factory(RunRecord)
     version: int = 1
-    links: list = attrs.Factory(list)
+    active_link_faults: list = attrs.Factory(list)
     stopping: bool = False
     n_calls: int = 0
-    odd: list = attrs.Factory(list)
-    said_before: dict = attrs.Factory(dict)
+    anomalies: list = attrs.Factory(list)
+    log_offsets: dict = attrs.Factory(dict)
     starting: set = attrs.Factory(set)
 
-    def play(self):
-        """Return the broken promises of a run by name, and what else went wrong.
+    def execute(self):
+        """Execute the plan; return violations by name of the check.
 
-        What every process wrote is kept unless nothing did, also if the run fails.
+        The logs of all processes are saved unless the run succeeds.
         """
-        is_clean = False
+        succeeded = False
         try:
             self._start()
             callers = [gevent.spawn(self._call, i) for i in range(N_CALLERS)]
-            self._strike_all()
-            settled = self._settles()
+            self._run_plan()
+            recovered = self._recovers()
             self.stopping = True
             gevent.joinall(callers, timeout=10.0)
             self._read_logs()
-            faults = find_faults(self.seen)
-            faults["all keys served again"] = [] if settled else ["not in time"]
-            faults["nothing odd in the logs"] = self.odd
-            is_clean = not any(faults.values())
-            return faults
+            violations = find_violations(self.record)
+            violations["all keys served again"] = [] if recovered else ["not in time"]
+            violations["no unexpected errors"] = self.anomalies
+            succeeded = not any(violations.values())
+            return violations
         finally:
-            if not is_clean:
-                self._keep_logs()
+            if not succeeded:
+                self._save_logs()
             self.site.close()
 
     def _start(self):
@@ -104,86 +118,87 @@
         self.site.wait_ready(*DAEMONS)
 
     def _start_daemon(self, name):
-        is_known = name in self.site.processes
-        self.said_before[name] = len(self.site.log_text(name)) if is_known else 0
+        was_started = name in self.site.processes
+        self.log_offsets[name] = len(self.site.log_text(name)) if was_started else 0
         self.site.start_daemon(name, DAEMONS[name])
 
-    def _is_new(self, name):
-        """Tell whether a daemon's process has not yet said that it is ready."""
-        return READY_LINE not in self.site.log_text(name)[self.said_before[name] :]
+    def _is_starting(self, name):
+        """Tell whether a daemon's process has not yet reported that it is ready."""
+        return READY_LINE not in self.site.log_text(name)[self.log_offsets[name] :]
 
-    def _strike_all(self):
+    def _run_plan(self):
         began_s, tasks = time.monotonic(), []
-        for strike in draw_plan(self.seed, self.length_s * 1000.0):
-            gevent.sleep(max(0.0, began_s + strike.at_ms / 1000.0 - time.monotonic()))
-            tasks.append(gevent.spawn(self._strike, strike))
+        for event in generate_plan(self.seed, self.length_s * 1000.0):
+            gevent.sleep(max(0.0, began_s + event.at_ms / 1000.0 - time.monotonic()))
+            tasks.append(gevent.spawn(self._apply, event))
         gevent.joinall(tasks, raise_error=True)
 
-    def _strike(self, strike):
-        kind = strike.kind.replace("-", "_")
-        pause_s = strike.for_ms / 1000.0
-        if strike.name == "leader":
-            strike = attrs.evolve(strike, name=self._leader())
-        getattr(self, f"_{kind}")(strike, pause_s)
+    def _apply(self, event):
+        kind = event.kind.replace("-", "_")
+        duration_s = event.duration_ms / 1000.0
+        if event.name == "leader":
+            event = attrs.evolve(event, name=self._leader())
+        getattr(self, f"_{kind}")(event, duration_s)
 
     def _leader(self):
         objects = self.site.order()["objects"].get("ramp-leader", {})
         name = objects.get("leader", {}).get("spec", {}).get("name")
         return name if name in DAEMONS else "d1"
 
-    def _kill(self, strike, pause_s):
-        if not self._is_up(strike.name):
+    def _kill(self, event, duration_s):
+        if not self._is_up(event.name):
             return
-        self.site.kill(strike.name)
-        self.seen.ends.append((strike.name, time.time() * 1000.0))
-        gevent.sleep(pause_s)
-        self._restart(strike.name)
+        self.site.kill(event.name)
+        self.record.kills.append((event.name, time.time() * 1000.0))
+        gevent.sleep(duration_s)
+        self._restart(event.name)
 
-    def _kill_all(self, strike, pause_s):
+    def _kill_all(self, event, duration_s):
         tasks = [
-            gevent.spawn(self._kill, attrs.evolve(strike, name=name), pause_s)
+            gevent.spawn(self._kill, attrs.evolve(event, name=name), duration_s)
             for name in DAEMONS
         ]
         gevent.joinall(tasks)
 
-    def _freeze(self, strike, pause_s):
-        if not self._is_up(strike.name):
+    def _freeze(self, event, duration_s):
+        if not self._is_up(event.name):
             return
-        process = self.site.processes[strike.name]
+        process = self.site.processes[event.name]
         began_ms = time.time() * 1000.0
         process.send_signal(signal.SIGSTOP)
-        gevent.sleep(pause_s)
+        gevent.sleep(duration_s)
         process.send_signal(signal.SIGCONT)
-        if strike.name in DAEMONS:
-            ill = strike.name, began_ms, time.time() * 1000.0
-            self.seen.daemons_ill.append(ill)
+        if event.name in DAEMONS:
+            fault_span = event.name, began_ms, time.time() * 1000.0
+            self.record.daemon_faults.append(fault_span)
 
-    def _stop(self, strike, pause_s):
-        if not self._is_up(strike.name):
+    def _stop(self, event, duration_s):
+        if not self._is_up(event.name):
             return
-        process = self.site.processes[strike.name]
-        is_new = self._is_new(strike.name)
+        process = self.site.processes[event.name]
+        is_starting = self._is_starting(event.name)
         process.terminate()
         with gevent.Timeout(12.0, False):
             while process.poll() is None:
                 gevent.sleep(0.05)
-        expected = {0, -signal.SIGKILL} | ({-signal.SIGTERM} if is_new else set())
+        expected = {0, -signal.SIGKILL} | ({-signal.SIGTERM} if is_starting else set())
         if process.poll() not in expected:
-            self.odd.append(f"{strike.name} ended with {process.poll()}")
-        gevent.sleep(pause_s)
-        self._restart(strike.name)
-
-    def _leave(self, strike, pause_s):
-        if not self._is_up(strike.name) or strike.name in self.starting:
-            # One that starts knows no signals yet: it would end without leaving.
+            self.anomalies.append(f"{event.name}: exit code {process.poll()}")
+        gevent.sleep(duration_s)
+        self._restart(event.name)
+
+    def _leave(self, event, duration_s):
+        if not self._is_up(event.name) or event.name in self.starting:
+            # A starting server has not installed its signal handlers: the signal would
+            # end the process instead.
             return
-        process = self.site.processes[strike.name]
-        is_unsaid = strike.detail == "unsaid"
-        process.send_signal(signal.SIGUSR2 if is_unsaid else signal.SIGUSR1)
-        gevent.sleep(3.0 + pause_s)
-        if self.site.processes[strike.name] is process:
-            self._kill(strike, 0.5)
-            self._restart(strike.name)
+        process = self.site.processes[event.name]
+        deregisters = event.detail == "unsaid"
+        process.send_signal(signal.SIGUSR2 if deregisters else signal.SIGUSR1)
+        gevent.sleep(3.0 + duration_s)
+        if self.site.processes[event.name] is process:
+            self._kill(event, 0.5)
+            self._restart(event.name)
 
     def _restart(self, name):
         if self._is_up(name):
@@ -195,71 +210,71 @@
         try:
             self.site.start_server(name, *SERVERS[name])
         except ChildProcessError as error:
-            # Whoever killed it while it started starts it again.
+            # If another event killed it while it started, that event restarts it.
             if self.site.processes[name].poll() != -signal.SIGKILL:
-                self.odd.append(f"{name}: {error}")
+                self.anomalies.append(f"{name}: {error}")
         finally:
             self.starting.discard(name)
 
-    def _misbehave(self, strike, pause_s):
-        if not self._is_up(strike.name):
+    def _misbehave(self, event, duration_s):
+        if not self._is_up(event.name):
             return
-        process = self.site.processes[strike.name]
-        for count in (MANY, 0):
+        process = self.site.processes[event.name]
+        for count in (UNLIMITED, 0):
             if process.poll() is None:
-                body = json.dumps({strike.detail: count}).encode()
-                pool = HttpPool(self.site.servers[strike.name])
+                body = json.dumps({event.detail: count}).encode()
+                pool = HttpPool(self.site.servers[event.name])
                 pool.exchange("POST", "/stand-in/faults", (), body, 2000)
-            gevent.sleep(pause_s if count else 0.0)
+            gevent.sleep(duration_s if count else 0.0)
 
-    def _link(self, strike, pause_s):
-        sources = list(DAEMONS) if strike.name == "*" else [strike.name]
-        fault = Fault(sources, [strike.target], strike.detail, 300.0)
+    def _link(self, event, duration_s):
+        sources = list(DAEMONS) if event.name == "*" else [event.name]
+        fault = Fault(sources, [event.target], event.detail, 300.0)
         began_ms = time.time() * 1000.0
-        self.links.append(fault)
-        self.site.set_faults(*self.links)
-        gevent.sleep(pause_s)
-        self.links.remove(fault)
-        self.site.set_faults(*self.links)
+        self.active_link_faults.append(fault)
+        self.site.set_faults(*self.active_link_faults)
+        gevent.sleep(duration_s)
+        self.active_link_faults.remove(fault)
+        self.site.set_faults(*self.active_link_faults)
         ended_ms = time.time() * 1000.0
-        if strike.target == "store" and len(sources) > 1:
-            self.seen.store_ill.append((began_ms, ended_ms))
-        elif strike.target == "store":
-            self.seen.daemons_ill.append((strike.name, began_ms, ended_ms))
+        if event.target == "store" and len(sources) > 1:
+            self.record.store_faults.append((began_ms, ended_ms))
+        elif event.target == "store":
+            self.record.daemon_faults.append((event.name, began_ms, ended_ms))
         else:
-            self.seen.links_ill.append((strike.target, began_ms, ended_ms))
+            self.record.link_faults.append((event.target, began_ms, ended_ms))
 
-    def _store(self, strike, pause_s):
-        if strike.detail == "forget":
+    def _store(self, event, duration_s):
+        if event.detail == "forget":
             self.site.order(forget_history=True)
             return
-        value = {"down": True, "delay_ms": 400.0}.get(strike.detail, 3)
+        value = {"down": True, "delay_ms": 400.0}.get(event.detail, 3)
         began_ms = time.time() * 1000.0
-        self.site.order(faults={strike.detail: value})
-        gevent.sleep(pause_s)
-        self.site.order(faults={strike.detail: type(value)()})
-        self.seen.store_ill.append((began_ms, time.time() * 1000.0))
+        self.site.order(faults={event.detail: value})
+        gevent.sleep(duration_s)
+        self.site.order(faults={event.detail: type(value)()})
+        self.record.store_faults.append((began_ms, time.time() * 1000.0))
 
-    def _take_out(self, strike, pause_s):
-        self.site.order(write=["evacuations", strike.name, {}, None])
-        gevent.sleep(pause_s)
-        self.site.order(delete=["evacuations", strike.name])
+    def _take_out(self, event, duration_s):
+        self.site.order(write=["evacuations", event.name, {}, None])
+        gevent.sleep(duration_s)
+        self.site.order(delete=["evacuations", event.name])
 
-    def _manifest(self, strike, pause_s):
+    def _manifest(self, event, duration_s):
         version = self._write_manifest()
         added_ms = time.time() * 1000.0
-        gevent.sleep(IN_FORCE_S)
+        gevent.sleep(ROUTE_PROPAGATION_S)
         if version != self.version:
-            # The next one has dropped the route.
+            # A later manifest has removed the route.
             return
         for daemon in DAEMONS:
             self._probe(daemon, f"/v{version}/", added_ms)
 
     def _probe(self, daemon, route, added_ms):
         sent_ms = time.time() * 1000.0
-        answer = self.site.call(daemon, route, f"probe-{daemon}-{route.strip('/')}")
-        status = answer.status if answer else 0
-        self.seen.probes.append(Probe(daemon, route, added_ms, sent_ms, status))
+        response = self.site.call(daemon, route, f"probe-{daemon}-{route.strip('/')}")
+        status = response.status if response else 0
+        self.record.probes.append(Probe(daemon, route, added_ms, sent_ms, status))
 
     def _write_manifest(self):
         self.version += 1
@@ -267,9 +282,9 @@
         self.site.order(write=["config", "main", spec, None])
         return self.version
 
-    def _keep_logs(self):
-        """Save what every process has written: it is not there a second time."""
-        folder = os.path.join(KEPT_LOGS, f"seed-{self.seed}")
+    def _save_logs(self):
+        """Save the logs of all processes, as a failure may not recur with the seed."""
+        folder = os.path.join(LOG_FOLDER, f"seed-{self.seed}")
         os.makedirs(folder, exist_ok=True)
         started = (n for n in ("store", *DAEMONS, *SERVERS) if n in self.site.processes)
         for name in started:
@@ -280,7 +295,7 @@
         return self.site.processes[name].poll() is None
 
     def _call(self, number):
-        """Call through one daemon after the other, on connections that are kept."""
+        """Send requests to randomly chosen daemons, over persistent connections."""
         rng, pools = random.Random(self.seed * 100 + number), {}
         while not self.stopping:
             daemon = rng.choice(list(DAEMONS))
@@ -292,37 +307,43 @@
 
     def _call_once(self, rng, daemon, pool, number):
         self.n_calls += 1
-        named = f"s{number}-{self.n_calls}"
+        request_id = f"s{number}-{self.n_calls}"
         key = rng.randrange(N_KEYS)
         method, path = rng.choice(
             (("GET", "/view/"), ("POST", "/book/"), ("GET", "/parts/"))
         )
-        headers = [("Host", HOST), ("Request-Id", named), ("Deadline-Ms", "1500")]
+        headers = [("Host", HOST), ("Request-Id", request_id), ("Deadline-Ms", "1500")]
         if path == "/parts/":
             headers.append(("Shard-Key", str(key)))
         body = b"claim" if method == "POST" else b""
         sent_ms = time.time() * 1000.0
         result = pool.exchange(method, path, headers, body, 2500)
-        answer = result.value_or(None)
-        status, text = (answer.status, answer.body) if answer else (0, b"")
+        response = result.value_or(None)
+        status, text = (response.status, response.body) if response else (0, b"")
         answered_ms = time.time() * 1000.0
         times_ms = sent_ms, answered_ms
-        outcome = Outcome(named, method, path, *times_ms, status, text, daemon)
-        self.seen.outcomes.append(outcome)
+        outcome = Outcome(request_id, method, path, *times_ms, status, text, daemon)
+        self.record.outcomes.append(outcome)
+
+    def _recovers(self):
+        """Wait until every daemon serves keys of the whole key space.
 
-    def _settles(self):
-        """Wait until every daemon serves keys all over the space; whether it does."""
-        until_s = time.monotonic() + SETTLE_S
+        Returns
+        -------
+        recovered : bool
+            False if they do not within ``RECOVERY_TIMEOUT_S``.
+        """
+        until_s = time.monotonic() + RECOVERY_TIMEOUT_S
         while time.monotonic() < until_s:
-            if all(self._serves(daemon) for daemon in DAEMONS):
+            if all(self._serves_all_ranges(daemon) for daemon in DAEMONS):
                 return True
             gevent.sleep(0.5)
         return False
 
-    def _serves(self, daemon):
+    def _serves_all_ranges(self, daemon):
         for key in range(0, N_KEYS, N_KEYS // 16):
-            answer = self.site.call(daemon, "/parts/", f"end-{daemon}-{key}", key)
-            if answer is None or answer.status != 200:
+            response = self.site.call(daemon, "/parts/", f"end-{daemon}-{key}", key)
+            if response is None or response.status != 200:
                 return False
         return True
 
@@ -330,53 +351,55 @@
         for name in SERVERS:
             for line in self.site.log_text(name).splitlines():
                 if line.startswith("["):
-                    self.seen.entries.append(json.loads(line))
+                    self.record.entries.append(json.loads(line))
         for name in DAEMONS:
             for line in self.site.log_text(name).splitlines():
                 if "event=task-failed" in line or line.startswith("Traceback"):
-                    self.odd.append(f"{name}: {line[:300]}")
+                    self.anomalies.append(f"{name}: {line[:300]}")
 
 
 def main(*, seeds: list[int] = (), fresh: int = 0, length_s: float = 30.0):
-    """Play seeds one after the other; exit with 1 if a promise broke.
+    """Run seeds one after the other; exit with 1 if any run fails.
 
     Parameters
     ----------
     seeds : list[int]
-        Those of ``soak/seeds.txt`` if neither these nor fresh ones are asked for.
+        Seeds to run; those of ``soak/seeds.txt`` if neither seeds nor fresh is given.
     fresh : int
-        How many seeds to draw anew.
+        Number of new random seeds to run.
     length_s : float
-        For which faults strike in each run.
+        Duration of the faults in each run, in seconds.
     """
-    drawn = (FIRST_NEWER_SEED + secrets.randbelow(1_000_000) for _ in range(fresh))
-    chosen = [*seeds, *drawn]
-    return sum(not is_clean(seed, length_s) for seed in chosen or kept_seeds())
+    fresh_seeds = (
+        FIRST_EXTENDED_SEED + secrets.randbelow(1_000_000) for _ in range(fresh)
+    )
+    chosen = [*seeds, *fresh_seeds]
+    return sum(not run_seed(seed, length_s) for seed in chosen or regression_seeds())
 
 
-def is_clean(seed, length_s, make=Soak):
-    """Play a seed and print what became of it; whether nothing broke or failed.
+def run_seed(seed, length_s, soak_class=Soak):
+    """Run a seed and print the result; return whether the run succeeded.
 
-    The seed is printed before its play: one that ends otherwise would be lost.
+    The seed is printed first, so that it is known even if the run does not finish.
     """
     print(f"seed {seed}: ", end="", flush=True)
-    soak = make(seed, length_s)
+    soak = soak_class(seed, length_s)
     try:
-        broken = {name: found for name, found in soak.play().items() if found}
+        violations = {name: found for name, found in soak.execute().items() if found}
     except Exception:
         print("failed", flush=True)
         traceback.print_exc(file=sys.stdout)
         return False
-    served = sum(o.status == 200 for o in soak.seen.outcomes)
-    print(f"{len(soak.seen.outcomes)} calls, {served} served", end="")
-    print(f", broken: {sorted(broken)}" if broken else ", nothing broken")
-    for name, found in broken.items():
+    served = sum(o.status == 200 for o in soak.record.outcomes)
+    print(f"{len(soak.record.outcomes)} calls, {served} served", end="")
+    print(f", violated: {sorted(violations)}" if violations else ", no violations")
+    for name, found in violations.items():
         print(f"  {name}: {len(found)}", *found[:5], sep="\n    ", flush=True)
-    return not broken
+    return not violations
 
 
-def kept_seeds(path=SEEDS_FILE):
-    """Return the seeds that once failed, each on a line before its cause."""
+def regression_seeds(path=SEEDS_FILE):
+    """Return the seeds of a file that lists one per line, each with its cause."""
     with open(path, encoding="utf-8") as stream:
         lines = [line.split("#")[0].split() for line in stream]
     return [int(words[0]) for words in lines if words]
