--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of a whole fleet: real processes, with faults from outside."""
+"""A randomized soak test of a fleet of real processes under injected faults."""
--- a/standins/backend.py
+++ b/standins/backend.py
@@ -56,7 +56,7 @@
         are executing or queued.
     work_ms : float
         Duration of an execution.
-    checks : bool, default=True
+    checks_grants : bool, default=True
         Whether a divided server refuses requests without a valid grant.
     cold_slots : int
         Requests that may be in flight during a cold start; with more of them every
@@ -75,7 +75,7 @@
     divided: bool
     slots: int
     work_ms: float
-    checks: bool = True
+    checks_grants: bool = True
     cold_slots: int = 0
     cold_until_ms: float = 0.0
     in_flight: int = 0
@@ -193,7 +193,7 @@
         return clock_ms() <= deadline_at_ms
 
     def _owns(self, environ):
-        if not self.divided or not self.checks:
+        if not self.divided or not self.checks_grants:
             return True
         index = int(environ.get("HTTP_TARRAGON_SLICE", "-1"))
         token = int(environ.get("HTTP_TARRAGON_TOKEN", "-1"))
@@ -214,7 +214,7 @@
             "steward_term": None,
             "cold_excess": self.cold_excess,
         }
-        if self.divided and not self.checks:
+        if self.divided and not self.checks_grants:
             deadline_ms = float(environ.get("HTTP_TARRAGON_DEADLINE_MS", "inf"))
             entry["until_ms"] = started_ms + deadline_ms
             entry["steward_term"] = int(environ.get("HTTP_TARRAGON_TERM", "0"))
--- a/standins/layouts.py
+++ b/standins/layouts.py
@@ -52,16 +52,16 @@
 }
 
 
-def start_small(site, checks=True, **changes):
+def start_small(site, checks_grants=True, **backend_options):
     """Start all processes, declare the team and wait until every key has an owner.
 
     Parameters
     ----------
     site : Site
         One that has not been started.
-    checks : bool, default=True
+    checks_grants : bool, default=True
         Whether the servers of the service ``records`` check grants.
-    **changes
+    **backend_options : object
         Fields of ``Backend`` to override for every backend server.
 
     Raises
@@ -73,9 +73,11 @@
     for spec in DAEMONS:
         site.start_daemon(spec)
     for backend in BACKENDS:
-        site.start_backend(attrs.evolve(backend, checks=checks, **changes))
+        site.start_backend(
+            attrs.evolve(backend, checks_grants=checks_grants, **backend_options)
+        )
     site.wait_ready(ALL_DAEMONS)
-    done = site.command("apply", "--file", _team_file(site, checks), daemon="d1")
+    done = site.command("apply", "--file", _team_file(site, checks_grants), daemon="d1")
     if done.returncode != 0:
         raise RuntimeError(done.stderr)
     for name in ALL_DAEMONS:
@@ -109,10 +111,10 @@
     return len(counts) == n_servers and max(counts.values()) <= share
 
 
-def _team_file(site, checks):
+def _team_file(site, checks_grants):
     with open(TEAM_FILE, encoding="utf-8") as stream:
         documents = list(yaml.safe_load_all(stream))
-    documents[-1]["spec"]["parameters"]["records_check_grants"] = checks
+    documents[-1]["spec"]["parameters"]["records_check_grants"] = checks_grants
     path = os.path.join(site.folder, "team.yaml")
     with open(path, "w", encoding="utf-8") as stream:
         yaml.safe_dump_all(documents, stream)
--- a/standins/site.py
+++ b/standins/site.py
@@ -75,7 +75,7 @@
     slots : int
     work_ms : float
         Duration of an execution.
-    checks : bool
+    checks_grants : bool
         Whether a divided server refuses requests without a valid grant.
     cold_ms : float
         Duration of the cold start after each start.
@@ -88,7 +88,7 @@
     divided: bool = True
     slots: int = 4
     work_ms: float = 3.0
-    checks: bool = True
+    checks_grants: bool = True
     cold_ms: float = 0.0
 
 
@@ -164,7 +164,7 @@
         if first.divided:
             arguments.append("--divided")
         arguments += ["--cold-ms", str(first.cold_ms)]
-        if not first.checks:
+        if not first.checks_grants:
             arguments.append("--unchecked")
         self._spawn(first.name, arguments)
         self._backends[first.name] = first
