--- a/soak/checks.py
+++ b/soak/checks.py
@@ -9,7 +9,7 @@
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
 DRAIN_PROPAGATION_MS = 2500.0
 """How long after a server announced that it drains it may still get new requests: the
-two seconds within which every daemon has to know, and 500 ms for messages in transit."""
+two seconds in which all daemons have to know, and 500 ms for messages in transit."""
 
 OVERLAP_TOLERANCE_MS = 5.0
 """Holds of two servers may overlap by this: processes log the same instant at slightly
