--- a/standins/layouts.py
+++ b/standins/layouts.py
@@ -1,4 +1,4 @@
-"""A small site: four daemons, two failure domains, five backend servers."""
+"""A small site: four daemons and five backend servers in two failure domains."""
 
 import collections
 import math
@@ -20,7 +20,7 @@
     "DAEMONS",
     "IN_DOMAIN",
     "holder_of",
-    "is_settled",
+    "is_balanced",
     "start_small",
     "successor_of",
 ]
@@ -52,52 +52,55 @@
 }
 
 
-def start_small(site, checks=True, **changes):
-    """Start everything, declare the team and wait until every key has an owner.
+def start_small(site, checks_grants=True, **backend_options):
+    """Start all processes, declare the team and wait until every key has an owner.
 
     Parameters
     ----------
     site : Site
-        Nothing of which has been started.
-    checks : bool, default=True
-        Whether the servers of the grant records check who gives them orders.
-    **changes
-        Of every backend server, as fields of Backend.
+        One that has not been started.
+    checks_grants : bool, default=True
+        Whether the servers of the service ``records`` check grants.
+    **backend_options : object
+        Fields of ``Backend`` to override for every backend server.
 
     Raises
     ------
     RuntimeError
-        If the team is refused.
+        If the declaration of the team is refused.
     """
     site.start_platform()
     for spec in DAEMONS:
         site.start_daemon(spec)
     for backend in BACKENDS:
-        site.start_backend(attrs.evolve(backend, checks=checks, **changes))
+        site.start_backend(
+            attrs.evolve(backend, checks_grants=checks_grants, **backend_options)
+        )
     site.wait_ready(ALL_DAEMONS)
-    done = site.command("apply", "--file", _team_file(site, checks), daemon="d1")
+    done = site.command("apply", "--file", _team_file(site, checks_grants), daemon="d1")
     if done.returncode != 0:
         raise RuntimeError(done.stderr)
     for name in ALL_DAEMONS:
         site.wait_owned(name)
-    _wait_settled(site)
+    _wait_balanced(site)
 
 
-def _wait_settled(site, timeout_s=20.0):
-    """Wait until no more keys move: servers that came late are given their share."""
+def _wait_balanced(site, timeout_s=20.0):
+    """Wait until keys are evenly distributed, also to servers that registered late."""
     name = "objects/Assignment/fraser-valley.records"
     with gevent.Timeout(timeout_s):
-        while not is_settled(site.operator("d1", name)["spec"]["ranges"]):
+        while not is_balanced(site.operator("d1", name)["spec"]["ranges"]):
             gevent.sleep(0.05)
 
 
-def is_settled(ranges, n_servers=3):
-    """Tell whether each of some equal servers owns no more than its share.
+def is_balanced(ranges, n_servers=3):
+    """Tell whether all slices are owned and no server owns more than its share.
 
     Parameters
     ----------
     ranges : list of [first, count, state, server, token]
     n_servers : int
+        Number of servers, all of the same weight.
     """
     counts = collections.Counter()
     for _, count, state, server, _ in ranges:
@@ -108,10 +111,10 @@
     return len(counts) == n_servers and max(counts.values()) <= share
 
 
-def _team_file(site, checks):
+def _team_file(site, checks_grants):
     with open(TEAM_FILE, encoding="utf-8") as stream:
         documents = list(yaml.safe_load_all(stream))
-    documents[-1]["spec"]["parameters"]["records_check_grants"] = checks
+    documents[-1]["spec"]["parameters"]["records_check_grants"] = checks_grants
     path = os.path.join(site.folder, "team.yaml")
     with open(path, "w", encoding="utf-8") as stream:
         yaml.safe_dump_all(documents, stream)
@@ -125,18 +128,18 @@
     ----------
     site : Site
     role : str
-        Name of the term's object.
+        Name of the ``Term`` object.
     asked : str, default="d1"
-        The daemon that is asked.
+        Daemon to query.
     """
-    return _named_in_term(site, role, asked, "holder")
+    return _term_field(site, role, asked, "holder")
 
 
 def successor_of(site, role, asked="d1"):
-    """Return the name of the daemon that a role's holder names; empty for nobody."""
-    return _named_in_term(site, role, asked, "successor")
+    """Return the name of a role's designated successor; empty if there is none."""
+    return _term_field(site, role, asked, "successor")
 
 
-def _named_in_term(site, role, asked, field):
+def _term_field(site, role, asked, field):
     stored = site.operator(asked, f"objects/Term/{role}")
     return stored["spec"][field].partition("#")[0]
