--- a/tests/faults.py
+++ b/tests/faults.py
@@ -1,4 +1,4 @@
-"""A small site behind the fault-injecting proxy, for tests that break things."""
+"""Base class of the fault-injection tests: a small site behind a proxy."""
 
 import shutil
 import unittest
@@ -12,35 +12,51 @@
 from standins.proxy import Fault
 from standins.site import Site
 
-__all__ = ["ALL_DAEMONS", "IN_DOMAIN", "FaultTestCase", "cut"]
+__all__ = ["ALL_DAEMONS", "IN_DOMAIN", "FaultTestCase", "partition"]
 
 
 PAUSE_MS = 20.0
-"""Far below what the servers bear: what is refused is refused for the fault."""
+"""Pause between a caller's requests.
 
+Keeps the load far below the servers' capacity, so that every refusal is due to the
+injected fault.
+"""
 
-def cut(names, others, kind="cut"):
-    """Return the faults that cut some processes off from others, both ways."""
+
+def partition(names, others, kind="cut"):
+    """Return the faults that separate two groups of processes in both directions."""
     return Fault(list(names), list(others), kind), Fault(
         list(others), list(names), kind
     )
 
 
 class FaultTestCase(unittest.TestCase):
-    """Starts a site for each test and checks every promise at its end."""
+    """Starts a site for each test and offers load generation and invariant checks.
+
+    Subclasses may override the class attributes.
+
+    Attributes
+    ----------
+    proxied : bool
+        Whether connections between processes pass the fault-injecting proxy.
+    servers_check_grants : bool
+        Whether the servers of the divided service check grants.
+    backend_options : dict
+        Fields of :class:`standins.site.Backend` to set for every backend server.
+    """
 
     proxied = True
-    checks = True
-    changes = {}
+    servers_check_grants = True
+    backend_options = {}
 
     def setUp(self):
-        """Start platform, daemons and backend servers; declare a team."""
+        """Start the platform, daemons and backend servers, and declare a team."""
         self.site = Site(proxied=self.proxied)
         self.addCleanup(shutil.rmtree, self.site.folder, ignore_errors=True)
         self.addCleanup(self.site.stop)
-        start_small(self.site, self.checks, **self.changes)
+        start_small(self.site, self.servers_check_grants, **self.backend_options)
 
-    def load_during(
+    def run_load(
         self,
         seconds,
         *events,
@@ -49,15 +65,15 @@
         n_keys=200,
         n_callers=12,
     ):
-        """Put load on and let things happen meanwhile.
+        """Send requests for some time and trigger events during the run.
 
         Parameters
         ----------
         seconds : float
         *events : (float, callable)
-            Seconds after the start of the load, and what happens then.
+            Seconds after the start of the load, and the function to call then.
         daemons : list of str
-            Whose caller ports the load is put on.
+            Daemons that receive the requests.
         calls : sequence of Call
         n_keys, n_callers : int
 
@@ -72,24 +88,25 @@
         gevent.joinall(tasks, raise_error=True)
         return load.outcomes
 
-    def check_promises(self, outcomes):
-        """Fail if the logs show a broken promise."""
+    def check_invariants(self, outcomes):
+        """Fail if the execution logs or outcomes violate an invariant."""
         faults = check_run(self.site.executions(), outcomes)
         self.assertEqual({k: v[:3] for k, v in faults.items() if v}, {})
 
     def check_recovered(self, outcomes):
-        """Fail unless everything is answered well for a second from now on."""
-        after = self.load_during(1.0)
+        """Fail unless every request succeeds during one further second of load."""
+        after = self.run_load(1.0)
         if any(o.result != "well" for o in after):
-            self.show_daemons()
+            self.print_daemon_logs()
         self.assertGreater(len(after), 20)
         self.assertEqual([o for o in after if o.result != "well"][:3], [])
-        self.check_promises([*outcomes, *after])
+        self.check_invariants([*outcomes, *after])
 
     def _callTestMethod(self, method):  # noqa: N802
-        """Run the test; if it fails, print which processes stood still meanwhile.
+        """Run the test; if it fails, print which processes were paused meanwhile.
 
-        A server or the proxy that the machine gives no time looks like a fault.
+        A server or proxy that the machine does not schedule looks like an injected
+        fault.
         """
         try:
             super()._callTestMethod(method)
@@ -97,16 +114,16 @@
             print("\n".join(["pauses:", *pauses_in(self.site.folder)]))
             raise
 
-    def show_daemons(self):
-        """Print what each daemon did last: a run that fails once may not fail again."""
+    def print_daemon_logs(self):
+        """Print each daemon's last log lines, as a failure may not be reproducible."""
         for name in ALL_DAEMONS:
             lines = self.site.daemon_log(name).splitlines()
             print("\n".join([f"last events of {name}:", *lines[-20:]]))
 
     def steward_of(self, server):
-        """Return the name of the daemon that is steward of a server."""
+        """Return the name of the daemon that is the steward of a server."""
         return holder_of(self.site, f"steward.fraser-valley.records.{server}")
 
     def planner(self):
-        """Return the name of the daemon that plans."""
+        """Return the name of the daemon that is the team's planner."""
         return holder_of(self.site, "planner.fraser-valley")
--- a/tests/test_faults_cold.py
+++ b/tests/test_faults_cold.py
@@ -1,30 +1,33 @@
-"""Servers in a cold start, which bear only a little load."""
+"""Fault tests with servers in a cold start, when their capacity is reduced."""
 
 from standins.layouts import ALL_DAEMONS
 from tests.faults import FaultTestCase
 
 
 class ColdServerFaultTest(FaultTestCase):
-    """Every server is cold for two seconds after it starts, and slow enough to tell."""
+    """Servers are cold for two seconds after a start.
 
-    changes = {"cold_ms": 2000.0, "work_ms": 25.0}
+    Requests take 25 ms each, so that concurrent ones overlap.
+    """
 
-    def test_a_server_comes_back_cold_under_load(self):
-        """A server of each kind is killed and comes back while callers wait for it.
+    backend_options = {"cold_ms": 2000.0, "work_ms": 25.0}
 
-        Four entries would each send it what they take for a little; it bears one
-        request, from all of them together.
+    def test_servers_restart_cold_under_load(self):
+        """A server of each service is killed and restarted under load.
+
+        Guards against each of the four entries sending its own small share to a cold
+        server: it can process only one request at a time from all of them together.
         """
         names = ("claims1", "records1")
 
-        def restart():
+        def restart_servers():
             for name in names:
                 self.site.kill(name)
             for name in names:
                 self.site.restart_backend(name)
 
-        outcomes = self.load_during(10.0, (1.0, restart), daemons=ALL_DAEMONS)
-        self.check_promises(outcomes)
+        outcomes = self.run_load(10.0, (1.0, restart_servers), daemons=ALL_DAEMONS)
+        self.check_invariants(outcomes)
         self.check_recovered(outcomes)
         restarted = {
             e["boot_id"] for e in self.site.executions() if e["server"] in names
--- a/tests/test_faults_gated.py
+++ b/tests/test_faults_gated.py
@@ -1,4 +1,7 @@
-"""Servers that do not check who gives them orders, and the only one that may."""
+"""Fault tests with servers that do not check grants.
+
+Requests to such a server are sent only by its steward.
+"""
 
 import signal
 
@@ -16,78 +19,81 @@
 
 
 class GatedServerFaultTest(FaultTestCase):
-    """The servers of the grant records execute whatever reaches them."""
+    """The servers of the divided service execute every request that reaches them."""
 
-    checks = False
+    servers_check_grants = False
 
-    def others(self, name):
-        """Return the daemons that stay well."""
+    def daemons_except(self, name):
+        """Return the names of all daemons but one."""
         return [other for other in ALL_DAEMONS if other != name]
 
     def test_a_frozen_steward_thaws_with_requests_in_its_hands(self):
-        """The steward freezes with claims on their way through it, then goes on.
+        """The steward is paused with forwarded claims in flight, then resumed.
 
-        Its successor sends to the server meanwhile. What the old one still holds must
-        not reach the server any more: the server would run it.
+        Meanwhile its successor sends to the server. The requests that the former
+        steward still holds must not reach the server, which would execute them.
         """
         steward = self.steward_of("records1")
-        outcomes = self.load_during(
+        outcomes = self.run_load(
             6.0,
             (1.0, lambda: self.site.signal(steward, signal.SIGSTOP)),
             (3.5, lambda: self.site.signal(steward, signal.SIGCONT)),
-            daemons=self.others(steward),
+            daemons=self.daemons_except(steward),
             calls=RECORDS,
         )
-        self.check_promises(outcomes)
+        self.check_invariants(outcomes)
         self.check_recovered(outcomes)
 
-    def test_a_killed_steward_is_replaced(self):
+    def test_killed_steward_is_replaced(self):
         """The only daemon that may send to a server is killed under load."""
         steward = self.steward_of("records1")
-        outcomes = self.load_during(
+        outcomes = self.run_load(
             5.0,
             (1.0, lambda: self.site.kill(steward)),
-            daemons=self.others(steward),
+            daemons=self.daemons_except(steward),
             calls=RECORDS,
         )
-        self.check_promises(outcomes)
+        self.check_invariants(outcomes)
         self.check_recovered(outcomes)
 
-    def test_a_frozen_server_runs_what_it_finds_in_its_buffer(self):
-        """A server freezes with claims in its socket buffers and thaws.
+    def test_paused_server_executes_buffered_requests(self):
+        """A server is paused with claims in its socket buffers, then resumed.
 
-        It runs them, because it checks nothing: so its keys must not have been given
-        to another server meanwhile, however long it was silent.
+        It executes them, as it does not check grants. Its keys must therefore not be
+        assigned to another server meanwhile, however long it does not respond.
         """
-        outcomes = self.load_during(
+        outcomes = self.run_load(
             7.0,
             (1.0, lambda: self.site.signal("records1", signal.SIGSTOP)),
             (3.5, lambda: self.site.signal("records1", signal.SIGCONT)),
             calls=RECORDS,
         )
-        self.check_promises(outcomes)
+        self.check_invariants(outcomes)
         self.check_recovered(outcomes)
 
-    def test_a_neighbour_joins_while_platform_and_pings_are_slow(self):
-        """Guards against a steward without a right while it names a successor."""
+    def test_daemon_joins_while_platform_and_pings_are_slow(self):
+        """Guards against a steward losing its right while it names a successor.
+
+        A daemon of its failure domain joins while pings and the platform are slow.
+        """
         steward = self.steward_of("records3")
         (neighbour,) = {"d3", "d4"} - {steward}
         self.site.terminate(neighbour)
-        self.wait_named("records3", "")
+        self.wait_for_successor("records3", "")
         self.site.set_faults(Fault([steward], [neighbour], "delay", 50.0))
         self.site.platform("faults", {"down": False, "delay_ms": 300})
-        outcomes = self.load_during(
+        outcomes = self.run_load(
             6.0,
             (0.5, lambda: self.site.restart_daemon(neighbour)),
-            daemons=self.others(neighbour),
+            daemons=self.daemons_except(neighbour),
             calls=RECORDS,
         )
-        self.wait_named("records3", neighbour)
+        self.wait_for_successor("records3", neighbour)
         self.assertEqual([o for o in outcomes if o.result != "well"][:3], [])
-        self.check_promises(outcomes)
+        self.check_invariants(outcomes)
 
-    def wait_named(self, server, name):
-        """Wait until a server's steward names a daemon as its successor."""
+    def wait_for_successor(self, server, name):
+        """Wait until a server's steward names a daemon, or none (""), as successor."""
         role = f"steward.fraser-valley.records.{server}"
         with gevent.Timeout(10.0):
             while successor_of(self.site, role) != name:
--- a/tests/test_faults_news.py
+++ b/tests/test_faults_news.py
@@ -1,4 +1,4 @@
-"""How late daemons learn of changes while one of them, the leader, learns nothing."""
+"""Propagation of changes to all daemons while the leader gets none from the store."""
 
 import signal
 import time
@@ -9,12 +9,12 @@
 from standins.site import free_address
 
 DAEMONS = ("d1", "d2", "d3", "d4")
-IN_FORCE_S = 2.0
-SETTLED_S = 2.0
+PROPAGATION_LIMIT_S = 2.0
+SETTLE_S = 2.0
 
 
-class SilentStoreTest(unittest.TestCase):
-    """Calls of the leader to the store get no answer; those of most others do."""
+class UnresponsiveStoreTest(unittest.TestCase):
+    """The leader's calls to the store get no response; most other daemons' calls do."""
 
     def setUp(self):
         """Start a fleet and wait until it has settled."""
@@ -28,72 +28,88 @@
         for name, domain in zip(DAEMONS, "abab", strict=True):
             site.start_daemon(name, domain)
         site.wait_ready(*DAEMONS)
-        time.sleep(SETTLED_S)
+        time.sleep(SETTLE_S)
 
-    def cut_leader_off(self, n_others=0):
-        """Cut the leader, and some others, off just after the store confirmed it."""
+    def isolate_leader(self, n_followers=0):
+        """Partition the leader and some followers from the store.
+
+        Done just after the leader has renewed its record, so that it leads for as long
+        as possible without the store.
+        """
         before = self.leader_record()["meta"]["rev"]
         self.site.wait(lambda: self.leader_record()["meta"]["rev"] > before, "renewal")
         leader = self.leader_record()["spec"]["name"]
-        others = [name for name in DAEMONS if name != leader][:n_others]
+        others = [name for name in DAEMONS if name != leader][:n_followers]
         self.site.set_faults(Fault([leader, *others], ["store"], "cut"))
 
     def leader_record(self):
-        """Return the object that names the leader."""
+        """Return the stored object that names the leader."""
         return self.site.order()["objects"]["ramp-leader"]["leader"]
 
-    def test_a_silent_store_at_the_leader_hides_no_manifest(self):
-        self.cut_leader_off()
-        self.check_new_route()
+    def test_new_manifest_reaches_all_if_the_leader_is_cut_off(self):
+        self.isolate_leader()
+        self.assert_new_route_is_served()
+
+    def test_new_manifest_reaches_all_if_both_watchers_are_cut_off(self):
+        """The leader and the second daemon that watches the store are cut off.
 
-    def test_a_silent_store_at_both_followers_hides_no_manifest(self):
-        """The second daemon that follows the store is the first of the others."""
-        self.cut_leader_off(n_others=1)
-        self.check_new_route()
+        That second daemon is the first follower by name.
+        """
+        self.isolate_leader(n_followers=1)
+        self.assert_new_route_is_served()
 
-    def check_new_route(self):
-        """Expect that all daemons serve a route two seconds after it was added."""
+    def assert_new_route_is_served(self):
+        """Add a route and fail unless all daemons serve it two seconds later."""
         self.site.order(write=["config", "main", manifest(5, fresh="desk"), None])
-        time.sleep(IN_FORCE_S)
+        time.sleep(PROPAGATION_LIMIT_S)
         statuses = {
             name: self.site.call(name, "/fresh/", f"m-{name}").status
             for name in DAEMONS
         }
         self.assertEqual(statuses, dict.fromkeys(DAEMONS, 200))
 
-    def test_a_silent_store_at_the_leader_hides_no_leaving_server(self):
-        self.cut_leader_off()
-        self.leave(signal.SIGUSR1, "desk0")
-        self.check_no_new_work("desk0")
+    def test_draining_server_gets_no_requests_if_the_leader_is_cut_off(self):
+        self.isolate_leader()
+        self.signal_servers(signal.SIGUSR1, "desk0")
+        self.assert_no_new_requests("desk0")
 
-    def test_a_silent_store_at_the_leader_hides_no_servers_that_leave_unsaid(self):
-        self.cut_leader_off()
+    def test_deregistered_servers_get_no_requests_if_the_leader_is_cut_off(self):
+        self.isolate_leader()
         names = ("desk0", "desk1", "desk2")
-        self.leave(signal.SIGUSR2, *names)
-        self.check_no_new_work(*names)
+        self.signal_servers(signal.SIGUSR2, *names)
+        self.assert_no_new_requests(*names)
 
-    def test_servers_that_leave_unsaid_after_trouble_get_no_new_work(self):
+    def test_deregistered_server_gets_no_requests_after_a_store_outage(self):
         self.site.order(faults={"down": True})
         time.sleep(1.0)
         self.site.order(faults={"down": False})
-        time.sleep(SETTLED_S)
-        self.leave(signal.SIGUSR2, "desk0")
-        self.check_no_new_work("desk0")
-
-    def leave(self, number, *names):
-        """Let servers leave, and wait until the store has heard of it."""
+        time.sleep(SETTLE_S)
+        self.signal_servers(signal.SIGUSR2, "desk0")
+        self.assert_no_new_requests("desk0")
+
+    def signal_servers(self, number, *names):
+        """Signal servers to leave, and wait until the store shows it.
+
+        Parameters
+        ----------
+        number : int
+            SIGUSR1 to announce draining, SIGUSR2 to deregister without announcement.
+        *names : str
+        """
         for name in names:
             self.site.signal(name, number)
-        self.site.wait(lambda: all(map(self.has_left, names)), "servers have left")
+        self.site.wait(
+            lambda: all(map(self.is_draining_or_gone, names)), "servers have left"
+        )
 
-    def has_left(self, name):
-        """Tell whether the store has heard that a server leaves."""
+    def is_draining_or_gone(self, name):
+        """Tell whether the store lists a server as draining or not at all."""
         entry = self.site.order()["objects"]["servers"].get(name)
         return entry is None or entry["spec"]["status"]["state"] == "draining"
 
-    def check_no_new_work(self, *names):
-        """Expect that servers get no request two seconds after they have left."""
-        time.sleep(IN_FORCE_S)
+    def assert_no_new_requests(self, *names):
+        """Fail if servers get a request that is sent two seconds after they left."""
+        time.sleep(PROPAGATION_LIMIT_S)
         for daemon in DAEMONS:
             for i in range(20):
                 self.site.call(daemon, "/view/", f"late-{daemon}-{i}")
--- a/tests/test_faults_operators.py
+++ b/tests/test_faults_operators.py
@@ -1,4 +1,4 @@
-"""What operators order while callers are served."""
+"""Operator actions under load."""
 
 import json
 import time
@@ -9,7 +9,7 @@
 from tarragonramp.adapters.http import HttpPool
 from tests.faults import ALL_DAEMONS, IN_DOMAIN, FaultTestCase
 
-IN_FORCE_S = 5.0
+PROPAGATION_LIMIT_S = 5.0
 
 
 def now_ms():
@@ -18,35 +18,38 @@
 
 
 class OperatorTest(FaultTestCase):
-    """Orders about failure domains, VMs and teams."""
+    """Changes of failure domains, VMs and teams."""
 
     proxied = False
 
-    def order(self, *arguments):
-        """Run a command of an operator; return when it was done."""
+    def run_operator_command(self, *arguments):
+        """Run an operator command; return the time when it completed, in ms."""
         done = self.site.command(*arguments, daemon="d1")
         self.assertEqual(done.returncode, 0, done.stderr)
         return now_ms()
 
     def test_a_failure_domain_is_taken_out_and_brought_back(self):
-        """Operators take failure domain b out under load and bring it back.
+        """Failure domain b is taken out under load and brought back.
 
-        Its keys move without a request cut off, and three seconds after the order
-        nothing new begins there until it is back. Three seconds after the order to
-        bring it back was acknowledged it serves again; the command alone takes up to
-        three seconds to start on a starved machine.
+        Its keys move without a failed request, and three seconds after the command no
+        new execution starts there until it is brought back. It serves again within
+        three seconds of the acknowledgement of the second command; the acknowledgement
+        is used because the command takes up to three seconds to start on a loaded
+        machine.
         """
         times = {}
 
         def take_out():
-            times["out"] = self.order("domain", "take-out", "b")
+            times["out"] = self.run_operator_command("domain", "take-out", "b")
 
         def bring_back():
             times["back"] = now_ms()
-            times["acknowledged"] = self.order("domain", "bring-back", "b")
+            times["acknowledged"] = self.run_operator_command(
+                "domain", "bring-back", "b"
+            )
 
-        outcomes = self.load_during(14.0, (0.5, take_out), (6.0, bring_back))
-        self.check_promises(outcomes)
+        outcomes = self.run_load(14.0, (0.5, take_out), (6.0, bring_back))
+        self.check_invariants(outcomes)
         self.assertEqual([o for o in outcomes if o.result != "well"][:3], [])
         faults = new_work_after(
             self.site.executions(), IN_DOMAIN["b"], times["out"], times["back"]
@@ -60,10 +63,10 @@
         self.assertLess(min(used_ms), times["acknowledged"] + 3000.0)
 
     def test_a_departing_server_gets_no_new_work(self):
-        """The VM list says that a server departs.
+        """Two servers are marked as departing in the VM list.
 
-        Its keys move to others without a request cut off, and three seconds later
-        nothing new begins there.
+        Their keys move to others without a failed request, and three seconds later no
+        new execution starts there.
         """
         times = {}
 
@@ -74,8 +77,8 @@
                     vm["state"] = "departing"
             self.site.platform("vms", self.site.vms)
 
-        outcomes = self.load_during(6.0, (0.5, depart))
-        self.check_promises(outcomes)
+        outcomes = self.run_load(6.0, (0.5, depart))
+        self.check_invariants(outcomes)
         self.assertEqual([o for o in outcomes if o.result != "well"][:3], [])
         faults = new_work_after(
             self.site.executions(), ["records1", "claims1"], times["order"]
@@ -83,10 +86,10 @@
         self.assertEqual(faults[:3], [])
 
     def test_operators_race_each_other(self):
-        """Four operators change one team at the same moment, through four daemons.
+        """Four operators change one team concurrently through four daemons.
 
-        All saw the same version. One of them wins, the others are told of a
-        conflict; every daemon ends up with the winner's version and stays there.
+        All have read the same version. One update succeeds and the others get a
+        conflict; every daemon converges on the version that was written.
         """
         team = self.site.operator("d1", "objects/Team/fraser-valley")
         replies = {}
@@ -108,21 +111,21 @@
         winner = next(d for d, answer in replies.items() if answer.status == 200)
         expected = 4 + ALL_DAEMONS.index(winner)
         self.assertEqual(won["spec"]["parameters"]["slots"], expected)
-        until_s = time.monotonic() + IN_FORCE_S
-        while time.monotonic() < until_s and not self.in_force(won["version"]):
+        until_s = time.monotonic() + PROPAGATION_LIMIT_S
+        while time.monotonic() < until_s and not self.have_version(won["version"]):
             gevent.sleep(0.05)
-        self.assertTrue(self.in_force(won["version"]))
+        self.assertTrue(self.have_version(won["version"]))
 
     def put(self, daemon, stored, spec):
-        """Apply a spec conditional on the version that was read."""
+        """Write a spec with a conditional update against the version that was read."""
         address = self.site.settings[daemon]["control_address"]
         name = f"{stored['kind']}/{stored['name']}?version={stored['version']}"
         body = json.dumps(spec).encode()
         target = f"/operator/objects/{name}"
         return HttpPool(address).exchange("PUT", target, (), body, 5000).unwrap()
 
-    def in_force(self, version):
-        """Tell whether all daemons have a version of the platform."""
+    def have_version(self, version):
+        """Tell whether all daemons have reached a platform version."""
         return all(
             self.site.operator(daemon, "status")["view_version"] >= version
             for daemon in ALL_DAEMONS
--- a/tests/test_faults_platform.py
+++ b/tests/test_faults_platform.py
@@ -1,70 +1,73 @@
-"""The platform is down, slow, or loses answers."""
+"""Fault tests with a platform that is down, slow, stale, or loses responses."""
 
 from tests.faults import FaultTestCase
 
 
 class PlatformFaultTest(FaultTestCase):
-    """The platform's object API is in trouble while servers live."""
+    """Faults of the platform's object API."""
 
-    def faults(self, **changes):
-        """Return a function that sets the stand-in's faults."""
+    def fault_setter(self, **changes):
+        """Return a function that changes the faults of the platform's stand-in."""
         return lambda: self.site.platform("faults", changes)
 
-    def test_an_outage_costs_callers_nothing(self):
-        """The platform answers nothing for four seconds, several grants long.
+    def test_platform_outage_fails_no_request(self):
+        """The platform is down for four seconds, several times the length of a grant.
 
-        Stewards go on by their successors' words, entries route on what they know:
-        no caller sees it.
+        Stewards keep their rights by their successors' confirmations and entries route
+        by the state they have, so that no request may fail.
         """
-        outcomes = self.load_during(
-            6.0, (0.5, self.faults(down=True)), (4.5, self.faults(down=False))
+        outcomes = self.run_load(
+            6.0,
+            (0.5, self.fault_setter(down=True)),
+            (4.5, self.fault_setter(down=False)),
         )
-        self.check_promises(outcomes)
+        self.check_invariants(outcomes)
         self.assertEqual([o for o in outcomes if o.result != "well"][:3], [])
 
     def test_lost_answers_while_keys_move(self):
-        """A server dies, and the answers to the next writes are lost.
+        """A server is killed, and the responses to the next writes are lost.
 
-        The writes took effect. Whoever tries again must recognise its own, and
-        nobody may take a lost answer for a write that never was.
+        The writes took effect. A daemon that retries must recognise its own write, and
+        must not treat a lost response as a write that was not done.
         """
-        outcomes = self.load_during(
+        outcomes = self.run_load(
             6.0,
-            (0.9, self.faults(lose_answers=6)),
+            (0.9, self.fault_setter(lose_answers=6)),
             (1.0, lambda: self.site.kill("records1")),
         )
-        self.check_promises(outcomes)
+        self.check_invariants(outcomes)
         self.check_recovered(outcomes)
 
-    def test_a_slow_platform_while_a_steward_dies(self):
-        """Each answer of the platform takes a second when a steward is killed.
+    def test_steward_killed_while_the_platform_is_slow(self):
+        """A steward is killed while each response of the platform takes a second.
 
-        The taking write is answered late; until then the server's grant runs out
-        and its callers are refused, but nothing is lost or doubled.
+        The response to the successor's takeover write is late. The server's grant
+        expires before and requests for its keys are refused, but no execution may be
+        lost or duplicated.
         """
         steward = self.steward_of("records1")
         others = [n for n in ("d1", "d2", "d3", "d4") if n != steward]
-        outcomes = self.load_during(
+        outcomes = self.run_load(
             8.0,
-            (0.5, self.faults(delay_ms=1000)),
+            (0.5, self.fault_setter(delay_ms=1000)),
             (1.0, lambda: self.site.kill(steward)),
-            (4.0, self.faults(delay_ms=0)),
+            (4.0, self.fault_setter(delay_ms=0)),
             daemons=others,
         )
-        self.check_promises(outcomes)
+        self.check_invariants(outcomes)
         self.check_recovered(outcomes)
 
-    def test_old_versions_on_reads_and_watches(self):
-        """Lists and watches show old objects for a while, as a server dies.
+    def test_stale_reads_and_watches(self):
+        """Lists and watches return old objects for a while as a server is killed.
 
-        Conditional updates still tell the truth. No daemon may go back to an older
-        assignment or configuration.
+        Conditional updates still see the current versions. No daemon may go back to an
+        older assignment or configuration.
         """
-        outcomes = self.load_during(
+        outcomes = self.run_load(
             7.0,
-            (0.9, self.faults(freeze_reads=True)),
+            (0.9, self.fault_setter(freeze_reads=True)),
             (1.0, lambda: self.site.kill("records1")),
-            (4.0, self.faults(freeze_reads=False)),
+            (4.0, self.fault_setter(freeze_reads=False)),
         )
-        self.check_promises(outcomes)
+        self.check_invariants(outcomes)
         self.check_recovered(outcomes)
--- a/tests/test_faults_servers.py
+++ b/tests/test_faults_servers.py
@@ -1,4 +1,4 @@
-"""Backend servers that die, freeze and come back."""
+"""Fault tests with backend servers that are killed, paused and restarted."""
 
 import signal
 
@@ -6,53 +6,54 @@
 
 
 class ServerFaultTest(FaultTestCase):
-    """One backend server of three is in trouble."""
+    """Faults of one of the three backend servers of the divided service."""
 
-    def test_a_frozen_server_thaws_after_its_keys_moved(self):
-        """A backend server freezes for three seconds, then goes on.
+    def test_paused_server_resumes_after_its_keys_moved(self):
+        """A backend server is paused for three seconds, then resumed.
 
-        Its grant runs out and its keys get other owners. Thawed, it finds requests
-        and renewals in its socket buffers: none of them may take effect.
+        Its grant expires and its keys get other owners. The requests and renewals that
+        it then reads from its socket buffers must not take effect.
         """
-        outcomes = self.load_during(
+        outcomes = self.run_load(
             6.0,
             (1.0, lambda: self.site.signal("records1", signal.SIGSTOP)),
             (4.0, lambda: self.site.signal("records1", signal.SIGCONT)),
         )
-        self.check_promises(outcomes)
+        self.check_invariants(outcomes)
         self.check_recovered(outcomes)
 
-    def test_a_killed_server_comes_back_at_once(self):
+    def test_killed_server_restarts_immediately(self):
         """A backend server is killed and started again half a second later.
 
-        The new process has another boot id and knows of no grant; the old one's
-        grants must count as gone, and its own begin from nothing.
+        The new process has another boot id and no grants. Grants of the old process
+        must be treated as ended, and the new one must get its own.
         """
-        outcomes = self.load_during(
+        outcomes = self.run_load(
             5.0,
             (1.0, lambda: self.site.kill("records1")),
             (1.5, lambda: self.site.restart_backend("records1")),
         )
-        self.check_promises(outcomes)
+        self.check_invariants(outcomes)
         self.check_recovered(outcomes)
 
-    def test_a_server_freezes_together_with_its_steward(self):
-        """A backend server and its steward's daemon freeze in the same moment.
+    def test_server_and_its_steward_are_paused_together(self):
+        """A backend server and its steward's daemon are paused at the same time.
 
-        Nobody renews, and nobody who knows the grants can prove their end. The
-        successor waits until both the steward's right and its grants are over.
+        Grants are not renewed, and the daemon that knows them cannot prove that they
+        have ended. The successor must wait until the steward's right and its grants
+        have expired.
         """
         steward = self.steward_of("records1")
         others = [n for n in ("d1", "d2", "d3", "d4") if n != steward]
 
-        def freeze():
+        def pause():
             self.site.signal("records1", signal.SIGSTOP)
             self.site.signal(steward, signal.SIGSTOP)
 
-        def thaw():
+        def resume():
             self.site.signal(steward, signal.SIGCONT)
             self.site.signal("records1", signal.SIGCONT)
 
-        outcomes = self.load_during(8.0, (1.0, freeze), (5.0, thaw), daemons=others)
-        self.check_promises(outcomes)
+        outcomes = self.run_load(8.0, (1.0, pause), (5.0, resume), daemons=others)
+        self.check_invariants(outcomes)
         self.check_recovered(outcomes)
