--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -1,4 +1,4 @@
-"""Stops and starts of daemons, with real processes under load."""
+"""Graceful shutdown and start-up of daemons, with real processes under load."""
 
 import shutil
 import signal
@@ -20,8 +20,8 @@
 TIMING = {"unready_ms": 300, "drain_idle_ms": 300}
 
 
-def new_site(case):
-    """Return a site with a platform that ends with the test class."""
+def start_site(case):
+    """Start a site with only a platform; it is stopped at the end of the class."""
     site = Site()
     case.addClassCleanup(shutil.rmtree, site.folder, ignore_errors=True)
     case.addClassCleanup(site.stop)
@@ -29,56 +29,59 @@
     return site
 
 
-def apply_teams(site, *names):
-    """Declare teams of the demo."""
+def declare_teams(site, *names):
+    """Declare some of the demo's teams."""
     for name in names:
         done = site.command("apply", "--file", f"demo/{name}.yaml", daemon="d1")
         assert done.returncode == 0, done.stderr
 
 
-def log_line(site, daemon, event):
-    """Return a daemon's latest log line of an event; empty if there is none."""
+def last_log_line(site, daemon, event):
+    """Return a daemon's last log line of an event, or an empty string."""
     lines = [x for x in site.daemon_log(daemon).splitlines() if f"event={event}" in x]
     return lines[-1] if lines else ""
 
 
-class ServerTest(unittest.TestCase):
-    """A server of a daemon, in this process."""
+class DaemonServerTest(unittest.TestCase):
+    """Shutdown of a :class:`DaemonServer` in this process."""
 
     def setUp(self):
-        self.served = []
+        self.caller_connected = []
         self.server = DaemonServer(free_address(), self.application, Clock())
         self.server.start()
         self.addCleanup(self.server.close)
-        self.caller = gevent.socket.create_connection(self.server.address)
-        self.addCleanup(self.caller.close)
+        self.connection = gevent.socket.create_connection(self.server.address)
+        self.addCleanup(self.connection.close)
         gevent.sleep(0.05)
 
     def application(self, environ, start_response):
-        """Note whether the caller seems to be there, and answer."""
-        self.served.append(not caller_is_gone(environ))
+        """Record whether the caller appears to be connected, and respond."""
+        self.caller_connected.append(not caller_is_gone(environ))
         start_response("200 OK", [("Content-Length", "2")])
         return [b"ok"]
 
-    def test_request_that_arrives_with_the_close_is_served(self):
+    def test_request_arriving_during_the_close_is_served(self):
         """An idle connection is closed just as its caller sends the next request.
 
-        The bytes are in this machine already. Dropped, the caller could not know
-        whether its claim ran; taken for a caller that has gone, it would be cancelled.
+        The request is already in the socket's receive buffer. If it were dropped, the
+        caller could not know whether its claim ran; if the caller were considered
+        disconnected, the request would be cancelled.
         """
         (handler,) = self.server.connections
-        self.caller.sendall(b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n")
+        self.connection.sendall(
+            b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"
+        )
         self.server.leave()
         handler.hang_up()
-        answer = b""
-        while data := self.caller.recv(65536):
-            answer += data
-        self.assertTrue(answer.endswith(b"ok"), answer)
-        self.assertIn(b"Connection: close\r\n", answer)
-        self.assertEqual(self.served, [True])
+        response = b""
+        while data := self.connection.recv(65536):
+            response += data
+        self.assertTrue(response.endswith(b"ok"), response)
+        self.assertIn(b"Connection: close\r\n", response)
+        self.assertEqual(self.caller_connected, [True])
 
     def test_queued_connection_is_accepted_before_the_close(self):
-        """A caller's connection is still in the listener's queue at the stop."""
+        """A connection is in the listener's accept queue when the drain begins."""
         queued = gevent.socket.create_connection(self.server.address)
         self.addCleanup(queued.close)
         drain = gevent.spawn(self.server.drain, 200, 2000)
@@ -86,22 +89,23 @@
         self.assertTrue(queued.recv(65536).endswith(b"ok"))
         self.assertEqual(drain.get().cut, 0)
 
-    def test_no_connection_begins_between_last_accept_and_close(self):
-        """Callers connect without a pause while the server stops.
+    def test_no_connection_is_established_between_last_accept_and_close(self):
+        """Callers connect continuously while the server stops.
 
-        Each of them may be refused, or answered; none may be accepted and then
-        reset.
+        A connection may be refused or served, but must not be accepted and then reset.
         """
         results = []
-        callers = [gevent.spawn(self.call_anew, results) for _ in range(8)]
+        callers = [
+            gevent.spawn(self.call_on_new_connections, results) for _ in range(8)
+        ]
         gevent.sleep(0.2)
         self.server.drain(100, 2000)
         gevent.joinall(callers, raise_error=True)
         self.assertIn(b"ok", results)
         self.assertLessEqual(set(results), {b"ok", "refused"})
 
-    def call_anew(self, results):
-        """Make a connection for each request until none is taken."""
+    def call_on_new_connections(self, results):
+        """Send each request on a new connection until one is refused."""
         while "refused" not in results:
             try:
                 sock = gevent.socket.create_connection(self.server.address, timeout=5)
@@ -120,20 +124,20 @@
 
     @classmethod
     def setUpClass(cls):
-        cls.site = new_site(cls)
+        cls.site = start_site(cls)
         for spec in cls.daemons:
             cls.site.start_daemon(spec, timing=TIMING)
         for backend in BACKENDS:
             cls.site.start_backend(backend)
         cls.site.wait_ready([spec.name for spec in cls.daemons])
-        apply_teams(cls.site, "fraser-valley", "cooperative")
+        declare_teams(cls.site, "fraser-valley", "cooperative")
         for spec in cls.daemons:
             cls.site.wait_owned(spec.name)
 
     def restart(self, name):
-        """Stop a daemon as a service manager does, and start it again."""
+        """Stop a daemon with SIGTERM, as a service manager does, and restart it."""
         self.assertEqual(self.site.terminate(name), 0)
-        stopped = log_line(self.site, name, "daemon-stopped")
+        stopped = last_log_line(self.site, name, "daemon-stopped")
         self.assertIn("requests_cut=0", stopped)
         self.assertIn("all_terms_handed_over=True", stopped)
         self.assertNotIn("Traceback", self.site.daemon_log(name))
@@ -141,10 +145,11 @@
         self.site.wait_ready([name])
 
     def test_rolling_restart_of_all_costs_no_request(self):
-        """Every daemon is restarted in turn while callers are at work.
+        """Every daemon is restarted in turn under load.
 
-        Were requests cut, callers would get "unknown" for claims that may have run;
-        were terms left behind, keys would go unserved until a successor had waited.
+        Guards against aborted requests, which leave callers with the outcome "unknown"
+        for claims that may have run, and against terms that are not handed over, whose
+        keys are not served until a successor has waited for them.
         """
         load = Load([self.site.caller_address(s.name) for s in self.daemons], CALLS)
         callers = gevent.spawn(load.run, 60.0)
@@ -154,21 +159,21 @@
             gevent.sleep(0.5)
         load.stopping = True
         callers.get()
-        bad = [o for o in load.outcomes if o.result != "well"]
-        for outcome in bad[:5]:
+        failures = [o for o in load.outcomes if o.result != "well"]
+        for outcome in failures[:5]:
             print(outcome, *self.site.lines_about(outcome.request_id), sep="\n")
-        self.assertEqual(bad[:5], [], summary(load.outcomes))
+        self.assertEqual(failures[:5], [], summary(load.outcomes))
         self.assertGreater(len(load.outcomes), 1000)
         faults = check_run(self.site.executions(), load.outcomes)
         self.assertEqual({k: v for k, v in faults.items() if v}, {})
 
 
 class SharedPortTest(unittest.TestCase):
-    """Two daemons of one VM that share the caller port."""
+    """Two daemons on one VM that share the caller port."""
 
     @classmethod
     def setUpClass(cls):
-        cls.site = new_site(cls)
+        cls.site = start_site(cls)
         cls.shared = free_address()
         for name in ("d1", "d2"):
             cls.site.start_daemon(
@@ -179,15 +184,15 @@
                 Backend(f"c{i}", "a", "fraser-valley", "claims", False, 8, 1.0)
             )
         cls.site.wait_ready(["d1", "d2"])
-        apply_teams(cls.site, "fraser-valley")
+        declare_teams(cls.site, "fraser-valley")
         cls.wait_warm()
 
     @classmethod
     def wait_warm(cls):
-        """Wait until as many callers at once as the test has are all served.
+        """Wait until as many concurrent requests as the test sends all succeed.
 
-        New servers are let a little load through at first, and refuse the rest: that
-        is the cold start's rule and not what is looked at here.
+        During their cold start, servers get only a little load and the rest is refused,
+        which would fail the test for an unrelated reason.
         """
         until_s = time.monotonic() + 20.0
         while time.monotonic() < until_s:
@@ -204,15 +209,18 @@
             gevent.sleep(0.1)
         raise TimeoutError("servers did not become warm")
 
-    def test_queued_connections_outlive_a_drain(self):
-        """One of two daemons on a port stops while callers connect anew each time.
+    def test_queued_connections_survive_a_drain(self):
+        """One of two daemons on a port is stopped while callers open new connections.
 
-        The kernel resets what waits in the queue of a listener that closes. A caller
-        would see its connection accepted and then reset, for no fault of its own.
+        The kernel resets the connections in the accept queue of a listener that closes.
+        Guards against callers whose connection is established and then reset.
         """
         results = []
         until_s = time.monotonic() + 4.0
-        callers = [gevent.spawn(self.call_anew, until_s, results) for _ in range(24)]
+        callers = [
+            gevent.spawn(self.call_on_new_connections, until_s, results)
+            for _ in range(24)
+        ]
         for _ in range(2):
             gevent.sleep(0.4)
             self.assertEqual(self.site.terminate("d1"), 0)
@@ -222,8 +230,8 @@
         self.assertGreater(len(results), 500)
         self.assertEqual([item for item in results if item != 200][:5], [])
 
-    def call_anew(self, until_s, results):
-        """Make a connection for each request."""
+    def call_on_new_connections(self, until_s, results):
+        """Send each request on a new connection until a time."""
         while time.monotonic() < until_s:
             pool = HttpPool(self.shared)
             result = pool.exchange("GET", "/claims/check", (), b"", 5000)
@@ -232,56 +240,60 @@
 
 
 class StopTest(unittest.TestCase):
-    """One daemon and a slow server at a time."""
+    """Shutdown of single daemons, with a slow backend server."""
 
     @classmethod
     def setUpClass(cls):
-        cls.site = new_site(cls)
+        cls.site = start_site(cls)
         cls.site.start_backend(
             Backend("slow", "a", "fraser-valley", "claims", False, 8, 1500.0)
         )
         cls.site.start_backend(Backend("records1", "a", "fraser-valley", "records"))
         cls.start("d1")
-        apply_teams(cls.site, "fraser-valley")
+        declare_teams(cls.site, "fraser-valley")
         cls.site.wait_owned("d1")
 
     @classmethod
     def start(cls, name, **timing):
-        """Start a daemon and wait until it takes callers."""
+        """Start a daemon and wait until it is ready."""
         cls.site.start_daemon(DaemonSpec(name, "a"), timing={**TIMING, **timing})
         cls.site.wait_ready([name])
 
     def setUp(self):
         self.addCleanup(self.site.platform, "faults", {"down": False, "delay_ms": 0})
 
-    def end(self, name):
-        """Wait for a process to end; return its exit code."""
+    def wait_for_exit(self, name):
+        """Wait for a process to exit; return its exit code."""
         return self.site.processes[name].wait(20)
 
-    def look_up(self, pool):
-        """Return the answer to a quick request."""
+    def send_lookup(self, pool):
+        """Send a request to the fast server; return the response."""
         header = [("X-Grant-Record", "k1")]
         return pool.exchange("GET", "/records", header, b"", 1000).unwrap()
 
-    def is_ready(self, name):
-        """Return what the balancer is told."""
+    def readiness_status(self, name):
+        """Return the status of a daemon's readiness endpoint."""
         pool = HttpPool(self.site.settings[name]["control_address"])
         return pool.exchange("GET", "/ready", (), b"", 1000).unwrap().status
 
-    def test_not_ready_comes_before_refusing(self):
-        """A balancer reads readiness now and then, and sends callers until then."""
+    def test_not_ready_is_reported_before_connections_are_refused(self):
+        """A stopping daemon reports "not ready" while it still serves requests.
+
+        A load balancer polls readiness and sends callers to the daemon until it has
+        read the change.
+        """
         self.start("d2", unready_ms=1200)
         address = self.site.caller_address("d2")
         self.site.signal("d2", signal.SIGTERM)
         gevent.sleep(0.3)
-        self.assertEqual(self.is_ready("d2"), 503)
-        answer = self.look_up(HttpPool(address))
-        self.assertEqual(answer.status, 200)
-        self.assertEqual(answer.header("Connection"), "close")
-        self.assertEqual(self.end("d2"), 0)
-
-    def test_held_request_is_answered_in_full(self):
-        """A claim is with a slow server when its daemon is told to stop, twice."""
+        self.assertEqual(self.readiness_status("d2"), 503)
+        response = self.send_lookup(HttpPool(address))
+        self.assertEqual(response.status, 200)
+        self.assertEqual(response.header("Connection"), "close")
+        self.assertEqual(self.wait_for_exit("d2"), 0)
+
+    def test_forwarded_request_gets_a_complete_response(self):
+        """A claim is in flight at a slow server when its daemon gets SIGTERM twice."""
         self.start("d3", unready_ms=0)
         pool = HttpPool(self.site.caller_address("d3"))
         call = gevent.spawn(pool.exchange, "POST", "/claims", (), b"claim", 5000)
@@ -289,34 +301,36 @@
         self.site.signal("d3", signal.SIGTERM)
         gevent.sleep(0.3)
         self.site.signal("d3", signal.SIGTERM)
-        answer = call.get().unwrap()
-        self.assertEqual(answer.status, 200)
-        self.assertEqual(answer.header("Connection"), "close")
-        self.assertEqual(self.end("d3"), 0)
-        self.assertIn("requests_cut=0", log_line(self.site, "d3", "daemon-stopped"))
+        response = call.get().unwrap()
+        self.assertEqual(response.status, 200)
+        self.assertEqual(response.header("Connection"), "close")
+        self.assertEqual(self.wait_for_exit("d3"), 0)
+        self.assertIn(
+            "requests_cut=0", last_log_line(self.site, "d3", "daemon-stopped")
+        )
 
-    def test_idle_connection_is_closed_politely(self):
+    def test_idle_connection_is_closed_without_losing_a_request(self):
         """A caller keeps its connection open between requests.
 
-        Its next request on it is answered, with word that the connection closes; one
-        that stays idle is closed, so that it does not hold up the stop.
+        The next request on it is served with "Connection: close". A connection that
+        stays idle is closed, so that it does not delay the shutdown.
         """
         self.start("d4", drain_idle_ms=1000)
         pool = HttpPool(self.site.caller_address("d4"))
-        self.assertEqual(self.look_up(pool).header("Connection"), "")
+        self.assertEqual(self.send_lookup(pool).header("Connection"), "")
         idle = socket.create_connection(
             split_address(self.site.caller_address("d4")), timeout=5
         )
         self.addCleanup(idle.close)
         self.site.signal("d4", signal.SIGTERM)
         gevent.sleep(0.6)
-        answer = self.look_up(pool)
-        self.assertEqual(answer.status, 200)
-        self.assertEqual(answer.header("Connection"), "close")
+        response = self.send_lookup(pool)
+        self.assertEqual(response.status, 200)
+        self.assertEqual(response.header("Connection"), "close")
         self.assertEqual(idle.recv(1), b"")
-        self.assertEqual(self.end("d4"), 0)
+        self.assertEqual(self.wait_for_exit("d4"), 0)
 
-    def test_request_still_running_at_the_end_is_counted_as_cut(self):
+    def test_request_still_running_at_the_time_limit_is_counted_as_cut(self):
         self.start("d5", unready_ms=0, drain_ms=300)
         pool = HttpPool(self.site.caller_address("d5"))
         call = gevent.spawn(pool.exchange, "POST", "/claims", (), b"claim", 5000)
@@ -324,27 +338,31 @@
         self.assertFalse(call.ready(), call.value)
         self.assertEqual(self.site.terminate("d5"), 0)
         call.get()
-        self.assertIn("requests_cut=1", log_line(self.site, "d5", "daemon-stopped"))
+        self.assertIn(
+            "requests_cut=1", last_log_line(self.site, "d5", "daemon-stopped")
+        )
 
-    def test_interrupt_drains_too(self):
+    def test_interrupt_drains(self):
         self.start("d6")
         self.site.signal("d6", signal.SIGINT)
-        self.assertEqual(self.end("d6"), 0)
-        self.assertIn("unregistered=True", log_line(self.site, "d6", "daemon-stopped"))
+        self.assertEqual(self.wait_for_exit("d6"), 0)
+        self.assertIn(
+            "unregistered=True", last_log_line(self.site, "d6", "daemon-stopped")
+        )
 
     def test_stop_is_bounded_while_the_platform_is_down(self):
-        """The platform is down when a daemon that holds terms is told to stop."""
+        """A daemon that holds terms is stopped while the platform is down."""
         self.start("e1", handover_ms=500, platform_timeout_ms=500)
         self.site.terminate("d1")
-        self.wait_for_terms("e1")
+        self.wait_for_handover("e1")
         self.site.platform("faults", {"down": True})
         self.assertEqual(self.site.terminate("e1", 8.0), 0)
-        stopped = log_line(self.site, "e1", "daemon-stopped")
+        stopped = last_log_line(self.site, "e1", "daemon-stopped")
         self.assertIn("all_terms_handed_over=False", stopped)
         self.assertIn("unregistered=False", stopped)
 
-    def wait_for_terms(self, name):
-        """Wait until a daemon has been handed the terms of the one before."""
+    def wait_for_handover(self, name):
+        """Wait until a daemon has taken over a steward's term."""
         until_s = time.monotonic() + 10
         while "steward-began" not in self.site.daemon_log(name):
             self.assertLess(time.monotonic(), until_s)
@@ -352,27 +370,27 @@
 
 
 class StartTest(unittest.TestCase):
-    """Daemons that start while something is wrong."""
+    """Start-up of daemons without a platform or with an address in use."""
 
     @classmethod
     def setUpClass(cls):
-        cls.site = new_site(cls)
+        cls.site = start_site(cls)
 
     def setUp(self):
         self.addCleanup(self.site.platform, "faults", {"down": False, "delay_ms": 0})
 
     def wait_for_log(self, name, text):
-        """Wait until a daemon has logged something."""
+        """Wait until a daemon's log contains a text."""
         until_s = time.monotonic() + 10
         while text not in self.site.daemon_log(name):
             self.assertLess(time.monotonic(), until_s, self.site.daemon_log(name))
             gevent.sleep(0.05)
 
-    def test_without_the_platform_a_daemon_is_up_but_not_ready(self):
-        """The platform is down when a VM boots, and comes back later.
+    def test_without_the_platform_a_daemon_is_healthy_but_not_ready(self):
+        """The platform is down when a VM boots, and recovers later.
 
-        A daemon that gave up would need an operator; one that took callers without
-        a view would tell them that their service does not exist.
+        A daemon that exited would need an operator; one that accepted requests before
+        it has read the platform would report that their service does not exist.
         """
         self.site.platform("faults", {"down": True})
         self.site.start_daemon(DaemonSpec("d1", "a"), timing=TIMING)
@@ -391,20 +409,22 @@
         self.assertEqual(self.site.terminate("d1"), 0)
 
     def test_stop_during_start(self):
-        """A daemon is told to stop while it still waits for the platform."""
+        """A daemon is stopped while it still waits for the platform."""
         self.site.platform("faults", {"down": True})
         self.site.start_daemon(DaemonSpec("d2", "a"))
         self.wait_for_log("d2", "event=platform-unreachable")
-        began_s = time.monotonic()
+        start_s = time.monotonic()
         self.assertEqual(self.site.terminate("d2", 10.0), 0)
-        self.assertLess(time.monotonic() - began_s, 8.0)
-        self.assertIn("was_ready=False", log_line(self.site, "d2", "daemon-draining"))
+        self.assertLess(time.monotonic() - start_s, 8.0)
+        self.assertIn(
+            "was_ready=False", last_log_line(self.site, "d2", "daemon-draining")
+        )
 
-    def test_taken_address_is_named(self):
-        taken = socket.create_server(("127.0.0.1", 0))
-        self.addCleanup(taken.close)
-        address = f"127.0.0.1:{taken.getsockname()[1]}"
+    def test_taken_address_is_reported(self):
+        listening_socket = socket.create_server(("127.0.0.1", 0))
+        self.addCleanup(listening_socket.close)
+        address = f"127.0.0.1:{listening_socket.getsockname()[1]}"
         for field in ("control_address", "peer_address", "caller_address"):
             self.site.start_daemon(DaemonSpec("d3", "a"), **{field: address})
             self.assertEqual(self.site.processes["d3"].wait(10), 1)
-            self.assertIn(address, log_line(self.site, "d3", "daemon-not-started"))
+            self.assertIn(address, last_log_line(self.site, "d3", "daemon-not-started"))
