--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -1,4 +1,8 @@
-"""The demo of the users' platform: a fleet on loopback, a killed leader, a verdict."""
+"""Demo of a fleet on the users' platform.
+
+Starts stand-ins and daemons on loopback, sends requests, kills the leader midway and
+checks that all keys are served and no booking was executed twice.
+"""
 
 from gevent import monkey
 
@@ -16,18 +20,25 @@
 DAEMONS = {"d1": "a", "d2": "a", "d3": "b"}
 N_CALLERS = 6
 N_KEYS = 65_536
-EXIT_BROKEN = 1
+EXIT_VIOLATION = 1
 
 
 def main():
-    """Run the demo; 0 only if each key was served after the kill and none ran twice."""
+    """Run the demo.
+
+    Returns
+    -------
+    exit_code : int
+        0 if requests succeeded, all checked keys were served after the kill and no
+        booking was executed twice; else 1.
+    """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=8.0)
     options = parser.parse_args()
     site = FleetSite()
     try:
         _start(site)
-        return _judge(site, *_load(site, options.seconds))
+        return _check_and_report(site, *_run_load(site, options.seconds))
     finally:
         site.close()
 
@@ -44,26 +55,36 @@
     print("a store, six servers and three daemons are up", flush=True)
 
 
-def _load(site, seconds):
-    """Let callers call; kill the leader midway. Return statuses, ids and its name."""
+def _run_load(site, seconds):
+    """Send requests and kill the leader midway.
+
+    Returns
+    -------
+    statuses : collections.Counter
+        Number of responses by HTTP status, "no answer" for none.
+    bookings : list of str
+        Request IDs of the bookings, which are not idempotent.
+    leader : str
+        Name of the killed daemon.
+    """
     statuses, bookings = collections.Counter(), []
     until_s = time.monotonic() + seconds
 
-    def call(place):
-        daemon, n = list(DAEMONS)[place % len(DAEMONS)], 0
+    def call(caller_index):
+        daemon, n = list(DAEMONS)[caller_index % len(DAEMONS)], 0
         while time.monotonic() < until_s:
             n += 1
-            named = f"{place}-{n}"
+            request_id = f"{caller_index}-{n}"
             if n % 3:
-                key = (n * 7919 + place * 104_729) % N_KEYS
-                answer = site.call(daemon, "/parts/", named, key)
+                key = (n * 7919 + caller_index * 104_729) % N_KEYS
+                response = site.call(daemon, "/parts/", request_id, key)
             else:
-                bookings.append(named)
-                answer = site.call(daemon, "/book/", named, method="POST")
-            statuses[answer.status if answer else "no answer"] += 1
+                bookings.append(request_id)
+                response = site.call(daemon, "/book/", request_id, method="POST")
+            statuses[response.status if response else "no answer"] += 1
             gevent.sleep(0.005)
 
-    callers = [gevent.spawn(call, place) for place in range(N_CALLERS)]
+    callers = [gevent.spawn(call, caller_index) for caller_index in range(N_CALLERS)]
     gevent.sleep(seconds / 2)
     leader = site.order()["objects"]["ramp-leader"]["leader"]["spec"]["name"]
     site.kill(leader)
@@ -72,23 +93,26 @@
     return statuses, bookings, leader
 
 
-def _judge(site, statuses, bookings, leader):
+def _check_and_report(site, statuses, bookings, leader):
     survivor = next(name for name in DAEMONS if name != leader)
     site.wait(lambda: site.is_ready(survivor), "a daemon ready")
     unserved = [
         key
         for key in range(0, N_KEYS, 2048)
-        if (answer := site.call(survivor, "/parts/", f"after-{key}", key)) is None
-        or answer.status != 200
+        if (response := site.call(survivor, "/parts/", f"after-{key}", key)) is None
+        or response.status != 200
     ]
     runs = site.runs()
-    doubled = [named for named in bookings if runs.get(named, 0) > 1]
+    executed_twice = [
+        request_id for request_id in bookings if runs.get(request_id, 0) > 1
+    ]
     print(
-        "answers:", ", ".join(f"{s}: {n}" for s, n in sorted(statuses.items(), key=str))
+        "responses:",
+        ", ".join(f"{s}: {n}" for s, n in sorted(statuses.items(), key=str)),
     )
     print(f"keys not served after the kill: {len(unserved)}")
-    print(f"bookings that ran twice: {len(doubled)}")
-    return EXIT_BROKEN if unserved or doubled or not statuses[200] else 0
+    print(f"bookings that ran twice: {len(executed_twice)}")
+    return EXIT_VIOLATION if unserved or executed_twice or not statuses[200] else 0
 
 
 if __name__ == "__main__":
--- a/demo/run.py
+++ b/demo/run.py
@@ -1,4 +1,8 @@
-"""The demo: a site on loopback, load, one killed backend server, and a verdict."""
+"""Demo of a site on loopback.
+
+Starts a platform, daemons and backend servers, sends requests, kills a backend server
+and checks that no invariant was violated and its keys are served again in time.
+"""
 
 from gevent import monkey
 
@@ -34,18 +38,17 @@
     Call("job booking", "POST", lambda key: f"/jobs/{key}/book", "", 200),
     Call("catalogue page", "GET", lambda key: f"/catalogue/page/{key}"),
 ]
-KILLED = "records1"
-
+KILLED_SERVER = "records1"
 
-WITHIN_MS = 2000
-EXIT_BROKEN = 1
+RECOVERY_LIMIT_MS = 2000
+EXIT_VIOLATION = 1
 EXIT_NOT_STARTED = 3
 EXIT_INTERRUPTED = 130
-STOPPING = (signal.SIGINT, signal.SIGTERM)
+STOP_SIGNALS = (signal.SIGINT, signal.SIGTERM)
 
 
 class Interrupted(BaseException):
-    """Somebody stops the demo."""
+    """Raised in the main greenlet by a signal to stop."""
 
 
 def main():
@@ -54,8 +57,8 @@
     Returns
     -------
     exit_code : int
-        0 only if every promise that was checked held; 1 if one was broken, 3 if the
-        site did not start, 130 after an interrupt.
+        0 if all checks passed, 1 if one failed, 3 if the site did not start, 130 after
+        an interrupt.
     """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=15.0)
@@ -72,8 +75,8 @@
         print(f"\nthe site did not start: {error}", file=sys.stderr)
         return EXIT_NOT_STARTED
     finally:
-        # A second interrupt must not leave processes behind.
-        for number in STOPPING:
+        # A second signal during the cleanup must not leave processes behind.
+        for number in STOP_SIGNALS:
             signal.signal(number, signal.SIG_IGN)
         site.stop()
         if options.keep:
@@ -83,10 +86,10 @@
 
 
 def _interrupt_on_signals(greenlet):
-    """Let the first signal to stop raise Interrupted in a greenlet, and no other one.
+    """Raise Interrupted in a greenlet on the first signal to stop; ignore later ones.
 
-    Raised wherever the signal finds the process, an interrupt may end in a callback or
-    a finalizer, which swallow it: the demo then went on to its end.
+    An exception that is raised wherever the signal arrives may occur in a callback or a
+    finalizer, where it is swallowed; the demo would then run to its end.
     """
     pending = [greenlet]
 
@@ -94,12 +97,12 @@
         while pending:
             gevent.kill(pending.pop(), Interrupted)
 
-    for number in STOPPING:
+    for number in STOP_SIGNALS:
         gevent.signal_handler(number, interrupt)
 
 
 def _run(site, seconds):
-    began_s = time.monotonic()
+    start_s = time.monotonic()
     print("starting platform, daemons and backend servers")
     site.start_platform()
     for spec in DAEMONS:
@@ -111,29 +114,29 @@
         done = site.command("apply", "--file", file, daemon="d1")
         print(done.stdout, end="")
         if done.returncode != 0:
-            raise StartError(f"{file} was not taken: {done.stderr}")
+            raise StartError(f"{file} was not applied: {done.stderr}")
     for spec in DAEMONS:
         site.wait_owned(spec.name)
-    print(f"site is up after {time.monotonic() - began_s:.1f} s; load begins")
+    print(f"site is up after {time.monotonic() - start_s:.1f} s; load begins")
     load = Load([site.caller_address(spec.name) for spec in DAEMONS], CALLS)
     killed_ms = []
-    gevent.spawn_later(seconds / 3, _kill, site, killed_ms)
-    load.run(seconds, _progress)
+    gevent.spawn_later(seconds / 3, _kill_server, site, killed_ms)
+    load.run(seconds, _print_progress)
     print()
     _print_table(load.outcomes)
-    return _verdict(site, load.outcomes, killed_ms[0])
+    return _check_and_report(site, load.outcomes, killed_ms[0])
 
 
-def _kill(site, killed_ms):
-    print(f"\nkilling backend server {KILLED}")
+def _kill_server(site, killed_ms):
+    print(f"\nkilling backend server {KILLED_SERVER}")
     killed_ms.append(time.monotonic() * 1000.0)
-    site.kill(KILLED)
+    site.kill(KILLED_SERVER)
 
 
-def _progress(outcomes):
-    """Rewrite one line on a terminal; elsewhere write a new one each time."""
-    well = sum(1 for outcome in outcomes if outcome.result == "well")
-    text = f"{len(outcomes)} requests, {well} answered well"
+def _print_progress(outcomes):
+    """Update one line in place on a terminal; otherwise print a new line."""
+    n_successful = sum(1 for outcome in outcomes if outcome.result == "well")
+    text = f"{len(outcomes)} requests, {n_successful} successful"
     if sys.stdout.isatty():
         print(f"\r{text}", end="", flush=True)
     else:
@@ -149,36 +152,37 @@
         print("".join(f"{text:>16}" for text in texts))
 
 
-def _verdict(site, outcomes, killed_ms):
+def _check_and_report(site, outcomes, killed_ms):
     executions = site.executions()
-    faults = check_run(executions, outcomes)
-    gaps_ms = served_again_ms(executions, KILLED, killed_ms)
-    served_ms = [gap_ms for gap_ms in gaps_ms.values() if gap_ms is not None]
+    violations_by_check = check_run(executions, outcomes)
+    times_ms = recovery_times_ms(executions, KILLED_SERVER, killed_ms)
+    recovered_ms = [time_ms for time_ms in times_ms.values() if time_ms is not None]
     print(
-        f"{KILLED} owned {len(gaps_ms)} slices in use; {len(served_ms)} of them served"
-        f" again, the first {min(served_ms, default=0):.0f} ms after the kill, the last"
-        f" {max(served_ms, default=0):.0f} ms"
+        f"{KILLED_SERVER} owned {len(times_ms)} slices in use;"
+        f" {len(recovered_ms)} of them served again,"
+        f" the first {min(recovered_ms, default=0):.0f} ms after the kill,"
+        f" the last {max(recovered_ms, default=0):.0f} ms"
     )
-    promise = f"keys of a killed server served again within {WITHIN_MS} ms"
-    faults[promise] = [
+    check_name = f"keys of a killed server served again within {RECOVERY_LIMIT_MS} ms"
+    violations_by_check[check_name] = [
         f"slice {index} not served again"
-        for index, gap_ms in gaps_ms.items()
-        if gap_ms is None
+        for index, time_ms in times_ms.items()
+        if time_ms is None
     ] + [
         f"{item.label} {item.key}: {item.result} {item.began_ms - killed_ms:.0f} ms"
         " after the kill"
         for item in outcomes
-        if item.result != "well" and item.began_ms > killed_ms + WITHIN_MS
+        if item.result != "well" and item.began_ms > killed_ms + RECOVERY_LIMIT_MS
     ]
-    for check, found in faults.items():
-        print(f"{'held' if not found else 'BROKEN':>7}  {check}")
-        for fault in found[:5]:
-            print(f"         {fault}")
-    return EXIT_BROKEN if any(faults.values()) else 0
+    for check, violations in violations_by_check.items():
+        print(f"{'passed' if not violations else 'FAILED':>7}  {check}")
+        for violation in violations[:5]:
+            print(f"         {violation}")
+    return EXIT_VIOLATION if any(violations_by_check.values()) else 0
 
 
-def served_again_ms(executions, server, killed_ms):
-    """Return when the slices of a killed server were first served again.
+def recovery_times_ms(executions, server, killed_ms):
+    """Return how long the slices of a killed server were without service.
 
     Parameters
     ----------
@@ -189,19 +193,20 @@
 
     Returns
     -------
-    gaps_ms : dict of int to float or None
-        By slice, from the kill to the first execution elsewhere; None for never.
-        Nobody may have asked for the slice earlier.
+    times_ms : dict of int to float or None
+        By slice, the time from the kill to the first execution at another server, or
+        None if there was none. It includes the time in which no caller requested the
+        slice.
     """
-    service = {e["path"].split("/")[1] for e in executions if e["server"] == server}
-    mine = [e for e in executions if e["path"].split("/")[1] in service]
-    gaps_ms = {e["slice"]: None for e in mine if e["server"] == server}
-    for entry in sorted(mine, key=lambda e: e["started_ms"]):
+    services = {e["path"].split("/")[1] for e in executions if e["server"] == server}
+    service_executions = [e for e in executions if e["path"].split("/")[1] in services]
+    times_ms = {e["slice"]: None for e in service_executions if e["server"] == server}
+    for entry in sorted(service_executions, key=lambda e: e["started_ms"]):
         index = entry["slice"]
         elsewhere = entry["server"] != server and entry["started_ms"] > killed_ms
-        if elsewhere and index in gaps_ms and gaps_ms[index] is None:
-            gaps_ms[index] = entry["started_ms"] - killed_ms
-    return gaps_ms
+        if elsewhere and index in times_ms and times_ms[index] is None:
+            times_ms[index] = entry["started_ms"] - killed_ms
+    return times_ms
 
 
 if __name__ == "__main__":
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo's own judgement and how it ends, without its load."""
+"""The demos: recovery times, interrupts, and the exit code of a short run."""
 
 import signal
 import subprocess
@@ -8,11 +8,11 @@
 
 import psutil
 
-from demo.run import EXIT_INTERRUPTED, served_again_ms
+from demo.run import EXIT_INTERRUPTED, recovery_times_ms
 
 
 def execution(server, index, started_ms):
-    """Return an entry of a backend server's log."""
+    """Return an entry of a backend server's execution log."""
     return {
         "server": server,
         "slice": index,
@@ -22,8 +22,8 @@
     }
 
 
-class ServedAgainTest(unittest.TestCase):
-    def test_gap_runs_from_the_kill_to_the_first_execution_elsewhere(self):
+class RecoveryTimesTest(unittest.TestCase):
+    def test_time_runs_from_the_kill_to_the_first_execution_elsewhere(self):
         entries = [
             execution("a", 1, 100),
             execution("a", 2, 110),
@@ -31,16 +31,16 @@
             execution("b", 1, 1900),
             execution("b", 1, 2500),
         ]
-        self.assertEqual(served_again_ms(entries, "a", 500), {1: 1400, 2: None})
+        self.assertEqual(recovery_times_ms(entries, "a", 500), {1: 1400, 2: None})
 
     def test_execution_elsewhere_before_the_kill_does_not_count(self):
         entries = [execution("b", 1, 50), execution("a", 1, 100)]
-        self.assertEqual(served_again_ms(entries, "a", 500), {1: None})
+        self.assertEqual(recovery_times_ms(entries, "a", 500), {1: None})
 
 
-class EndTest(unittest.TestCase):
+class InterruptTest(unittest.TestCase):
     def test_interrupt_leaves_no_process_behind(self):
-        """Somebody presses Ctrl-C, twice, while the site is starting."""
+        """The demo gets SIGINT (Ctrl-C) twice while the site is starting."""
         demo = subprocess.Popen(
             [sys.executable, "-m", "demo.run"],
             stdout=subprocess.DEVNULL,
@@ -63,9 +63,9 @@
 
 
 class FleetDemoTest(unittest.TestCase):
-    """The demo of the users' platform judges what it has seen."""
+    """The demo of a fleet on the users' platform."""
 
-    def test_a_short_run_ends_with_a_verdict(self):
+    def test_short_run_passes(self):
         done = subprocess.run(
             [sys.executable, "-m", "demo.fleet", "--seconds", "3"],
             capture_output=True,
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path, with real processes on loopback."""
+"""End-to-end requests through a site of real processes on loopback."""
 
 import shutil
 import unittest
@@ -32,61 +32,65 @@
         for spec in DAEMONS:
             cls.site.wait_owned(spec.name)
 
-    def call(self, daemon, method, target, headers=(), body=b""):
-        """Send one request through one daemon."""
+    def send_request(self, daemon, method, target, headers=(), body=b""):
+        """Send a request to a daemon; return the response."""
         pool = HttpPool(self.site.caller_address(daemon))
         return pool.exchange(method, target, headers, body, 5000).unwrap()
 
-    def test_1_a_key_reaches_its_one_owner_through_any_daemon(self):
+    def test_1_key_is_routed_to_one_owner_by_all_daemons(self):
         header = [("X-Grant-Record", "record-17")]
         servers = set()
         for spec in DAEMONS:
-            answer = self.call(spec.name, "POST", "/records", header, b"claim")
-            self.assertEqual(answer.status, 200)
-            servers.add(answer.header("X-Server"))
+            response = self.send_request(
+                spec.name, "POST", "/records", header, b"claim"
+            )
+            self.assertEqual(response.status, 200)
+            servers.add(response.header("X-Server"))
         self.assertEqual(len(servers), 1)
         explained = self.site.operator(
             "d2", "explain/fraser-valley/records?key=record-17"
         )
         self.assertEqual({explained["owner"]}, servers)
 
-    def test_2_every_server_is_reached_through_every_daemon(self):
+    def test_2_each_server_is_reached_through_each_daemon(self):
         for spec in DAEMONS:
-            seen = set()
+            responses = set()
             for i in range(60):
                 header = [("X-Grant-Record", f"k{i}")]
-                seen.add(self.call(spec.name, "GET", "/records", header))
-                seen.add(self.call(spec.name, "GET", f"/jobs/k{i}"))
-                seen.add(self.call(spec.name, "GET", "/claims"))
-                seen.add(self.call(spec.name, "GET", f"/catalogue/page/k{i}"))
-            names = {answer.header("X-Server") for answer in seen}
+                responses.add(self.send_request(spec.name, "GET", "/records", header))
+                responses.add(self.send_request(spec.name, "GET", f"/jobs/k{i}"))
+                responses.add(self.send_request(spec.name, "GET", "/claims"))
+                responses.add(
+                    self.send_request(spec.name, "GET", f"/catalogue/page/k{i}")
+                )
+            names = {response.header("X-Server") for response in responses}
             self.assertEqual(names, {backend.name for backend in BACKENDS})
 
-    def test_3_refusals_are_plain(self):
-        self.assertEqual(self.call("d1", "GET", "/nowhere").status, 404)
-        self.assertEqual(self.call("d1", "GET", "/records").status, 400)
+    def test_3_refusals_have_the_expected_status(self):
+        self.assertEqual(self.send_request("d1", "GET", "/nowhere").status, 404)
+        self.assertEqual(self.send_request("d1", "GET", "/records").status, 400)
         body = b"x" * 1_100_000
         header = [("X-Grant-Record", "k")]
-        answer = self.call("d1", "POST", "/records", header, body)
-        self.assertEqual(answer.status, 413)
-        self.assertEqual(answer.header("Tarragon-Outcome"), "not-run")
+        response = self.send_request("d1", "POST", "/records", header, body)
+        self.assertEqual(response.status, 413)
+        self.assertEqual(response.header("Tarragon-Outcome"), "not-run")
 
-    def test_4_a_killed_server_costs_no_promise(self):
-        """A backend server is killed while claims are under way.
+    def test_4_killed_server_violates_no_invariant(self):
+        """A backend server is killed while claims are in flight.
 
-        Callers of its keys are told "not run", or "unknown" for the few in its
-        hands; after its grant has run out others own its keys.
+        Requests for its keys get the outcome "not run", or "unknown" for the few in
+        flight at the server. After its grant has expired, other servers own its keys.
         """
         load = Load([self.site.caller_address(s.name) for s in DAEMONS], CALLS)
         gevent.spawn_later(1.0, self.site.kill, "records1")
         load.run(5.0)
         faults = check_run(self.site.executions(), load.outcomes)
         self.assertEqual({k: v for k, v in faults.items() if v}, {})
-        last = [o for o in load.outcomes if o.began_ms > max_began(load) - 1000.0]
+        last = [o for o in load.outcomes if o.began_ms > last_began_ms(load) - 1000.0]
         self.assertGreater(len(last), 100)
         self.assertEqual({o.result for o in last}, {"well"})
 
 
-def max_began(load):
-    """Return when the last request began."""
+def last_began_ms(load):
+    """Return the time when the last request began."""
     return max(outcome.began_ms for outcome in load.outcomes)
