--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,7 +1,7 @@
-"""Measures the slopes that docs/CAPACITY.md extrapolates from.
+"""Measures the cost slopes that docs/CAPACITY.md extrapolates from.
 
-Real daemons in growing numbers, then state in decades inside this process. It
-loads loopback only and ends by itself.
+Starts real daemons in growing numbers on loopback. Then measures state inside this
+process, at sizes that grow tenfold from step to step.
 """
 
 from gevent import monkey
@@ -29,12 +29,12 @@
 SERVER_STEPS = (5, 50, 200)
 VM_STEPS = (0, 200, 2000)
 SLICE_STEPS = (64, 640, 6_400, 64_000)
-DAEMON_MB = 70
+MEMORY_PER_DAEMON_MB = 70
 MEMORY_LIMIT_MB = 14_000
 
 
 def main():
-    """Measure, and print tables in Markdown."""
+    """Run the measurements and print their results as Markdown tables."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--window-s", type=float, default=8.0)
     parser.add_argument("--fleet", type=int, nargs="*", default=FLEET_STEPS)
@@ -42,15 +42,15 @@
     parser.add_argument("--vms", type=int, nargs="*", default=VM_STEPS)
     parser.add_argument("--slices", type=int, nargs="*", default=SLICE_STEPS)
     options = parser.parse_args()
-    if max((*options.fleet, 0)) * DAEMON_MB > MEMORY_LIMIT_MB:
-        parser.error(f"more daemons than {MEMORY_LIMIT_MB} MB hold")
-    began_s = time.monotonic()
+    if max((*options.fleet, 0)) * MEMORY_PER_DAEMON_MB > MEMORY_LIMIT_MB:
+        parser.error(f"that many daemons need more than {MEMORY_LIMIT_MB} MB")
+    start_s = time.monotonic()
     print(f"command: python -m bench.capacity {' '.join(sys.argv[1:])}".rstrip())
     print(f"commit: {_commit()}\n")
     _measure_fleets(options)
     if options.slices:
         _measure_state(options)
-    print(f"ended after {time.monotonic() - began_s:.0f} s")
+    print(f"ended after {time.monotonic() - start_s:.0f} s")
     return 0
 
 
@@ -72,10 +72,10 @@
     _print_table("control exchanges", measure_exchange_bytes())
     _print_table("objects in a view", measure_objects((660, 6_600)))
     rows = [
-        measure_assignment(n_slices, n_servers, mixed)
+        measure_assignment(n_slices, n_servers, is_scattered)
         for n_slices in options.slices
         for n_servers in (12, 120, 1_200)
-        for mixed in (False, True)
+        for is_scattered in (False, True)
         if n_servers <= n_slices
     ]
     _print_table("assignment of one service", rows)
@@ -83,31 +83,31 @@
     _print_table("entry, saturated by 32 callers", [measure_entry()])
 
 
-_last_title = None
+_printed_title = None
 
 
 def _print_row(title, row):
-    global _last_title
-    if title != _last_title:
-        _print_head(title, row)
-        _last_title = title
-    print(_cells(row), flush=True)
+    global _printed_title
+    if title != _printed_title:
+        _print_header(title, row)
+        _printed_title = title
+    print(_format_row(row), flush=True)
 
 
 def _print_table(title, rows):
-    _print_head(title, rows[0])
+    _print_header(title, rows[0])
     for row in rows:
-        print(_cells(row), flush=True)
+        print(_format_row(row), flush=True)
     print()
 
 
-def _print_head(title, row):
+def _print_header(title, row):
     print(f"\n{title}\n")
     print("| " + " | ".join(row) + " |")
     print("|" + " --- |" * len(row))
 
 
-def _cells(row):
+def _format_row(row):
     texts = [f"{v:.4g}" if isinstance(v, float) else str(v) for v in row.values()]
     return "| " + " | ".join(texts) + " |"
 
--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -1,7 +1,7 @@
-"""How long keys are without service when something dies or freezes.
+"""Measures how long keys are not served after a process is killed or paused.
 
-Each kind of event happens many times over on one site; the table gives minimum, median
-and maximum over the events. Run it with ``python -m bench.recovery``.
+Each kind of event is repeated on one site; the table gives the minimum, median and
+maximum outage. Run it with ``python -m bench.recovery``.
 """
 
 from gevent import monkey
@@ -28,15 +28,15 @@
 STEWARD = f"steward.fraser-valley.records.{SERVER}"
 PLANNER = "planner.fraser-valley"
 N_SLICES = 64
-ATTEMPT_MS = 300.0
+REQUEST_TIMEOUT_MS = 300.0
 PAUSE_S = 0.02
-GIVE_UP_S = 15.0
+TIMEOUT_S = 15.0
 SETTLE_S = 2.5
 
 
 @attrs.define
 class Probe:
-    """Asks for one key over and over, and notes what it gets.
+    """Requests one key continuously and records whether it was served.
 
     Parameters
     ----------
@@ -46,78 +46,83 @@
 
     site: object
     key: str
-    answers: list = attrs.Factory(list)
+    samples: list = attrs.Factory(list)
     running: bool = True
 
     def run(self):
-        """Ask until told to stop."""
-        turn = 0
+        """Send requests until ``running`` is false, to one daemon after the other."""
+        attempt = 0
         while self.running:
-            turn += 1
-            began_s = time.monotonic()
-            answered = self._ask(ALL_DAEMONS[turn % len(ALL_DAEMONS)])
-            if answered is not None:
-                self.answers.append((began_s, answered))
+            attempt += 1
+            start_s = time.monotonic()
+            is_served = self._is_served(ALL_DAEMONS[attempt % len(ALL_DAEMONS)])
+            if is_served is not None:
+                self.samples.append((start_s, is_served))
             gevent.sleep(PAUSE_S)
 
-    def _ask(self, daemon):
-        """Return whether the answer was good; None if the daemon does not listen."""
+    def _is_served(self, daemon):
+        """Tell whether a request was served; None if the daemon is not running."""
         if not self.site.is_running(daemon):
             return None
         pool = HttpPool(self.site.caller_address(daemon))
         headers = [("X-Grant-Record", self.key)]
-        result = pool.exchange("GET", "/records/status", headers, b"", ATTEMPT_MS)
+        result = pool.exchange(
+            "GET", "/records/status", headers, b"", REQUEST_TIMEOUT_MS
+        )
         pool.close()
         if not self.site.is_running(daemon):
             return None
         return is_successful(result) and result.unwrap().status == 200
 
-    def gap_s(self, since_s):
-        """Return the time from an event to the last failed attempt's end."""
-        later = [(at, ok) for at, ok in self.answers if at >= since_s]
-        failed = [index for index, (_, ok) in enumerate(later) if not ok]
-        if not failed:
+    def outage_s(self, since_s):
+        """Return the time from an event to the first attempt after the last failure.
+
+        0 without a failure; ``TIMEOUT_S`` if the last attempt failed.
+        """
+        later = [(at, ok) for at, ok in self.samples if at >= since_s]
+        failed_indexes = [index for index, (_, ok) in enumerate(later) if not ok]
+        if not failed_indexes:
             return 0.0
-        after = failed[-1] + 1
-        return later[after][0] - since_s if after < len(later) else GIVE_UP_S
+        after = failed_indexes[-1] + 1
+        return later[after][0] - since_s if after < len(later) else TIMEOUT_S
 
 
-def measure(site, event, undo, n_events):
-    """Let an event happen over and over.
+def measure_outages(site, inject, recover, n_events):
+    """Measure the outages that repeated events cause.
 
     Parameters
     ----------
     site : Site
-    event, undo : callable
-        ``event(site)`` makes the trouble, ``undo(site, token)`` ends it, given what
-        the event returned.
+    inject, recover : callable
+        ``inject(site)`` causes the fault; ``recover(site, injected)`` ends it, given
+        the value that ``inject`` returned.
     n_events : int
 
     Returns
     -------
-    gaps_s : list of float
-        By event, the longest time that one of the watched keys was without service.
+    outages_s : list of float
+        By event, the longest time that one of the probed keys was not served.
     """
-    gaps_s = []
+    outages_s = []
     for _ in range(n_events):
-        probes = [Probe(site, key) for key in keys_of(site, SERVER, 8)]
+        probes = [Probe(site, key) for key in owned_keys(site, SERVER, 8)]
         tasks = [gevent.spawn(probe.run) for probe in probes]
         gevent.sleep(0.3)
         event_s = time.monotonic()
-        token = event(site)
+        injected = inject(site)
         gevent.sleep(SETTLE_S)
         for probe in probes:
             probe.running = False
         gevent.joinall(tasks)
-        gaps_s.append(max(probe.gap_s(event_s) for probe in probes))
-        undo(site, token)
+        outages_s.append(max(probe.outage_s(event_s) for probe in probes))
+        recover(site, injected)
         gevent.sleep(0.5)
-        wait_spread(site)
-    return gaps_s
+        wait_until_rebalanced(site)
+    return outages_s
 
 
-def keys_of(site, server, n_keys):
-    """Return keys that a server owns now."""
+def owned_keys(site, server, n_keys):
+    """Return some of the keys that a server currently owns."""
     stored = site.operator("d1", "objects/Assignment/fraser-valley.records")
     owned = set()
     for first, count, state, owner, _ in stored["spec"]["ranges"]:
@@ -127,11 +132,11 @@
     return [key for key in keys if slice_of(key, N_SLICES) in owned][:n_keys]
 
 
-def wait_spread(site):
-    """Wait until the watched server owns keys again."""
-    until_s = time.monotonic() + GIVE_UP_S
+def wait_until_rebalanced(site):
+    """Wait until the probed server owns keys again and every slice has an owner."""
+    until_s = time.monotonic() + TIMEOUT_S
     while time.monotonic() < until_s:
-        if len(keys_of(site, SERVER, 8)) == 8:
+        if len(owned_keys(site, SERVER, 8)) == 8:
             for name in ALL_DAEMONS:
                 site.wait_owned(name)
             return
@@ -144,23 +149,23 @@
     site.kill(SERVER)
 
 
-def restart_server(site, token):
-    """Start it again."""
+def restart_server(site, injected):
+    """Restart the backend server."""
     site.restart_backend(SERVER)
 
 
-def freeze_server(site):
-    """Freeze the backend server."""
+def pause_server(site):
+    """Pause the backend server's process."""
     site.signal(SERVER, signal.SIGSTOP)
 
 
-def thaw_server(site, token):
-    """Let it go on."""
+def resume_server(site, injected):
+    """Resume the backend server's process."""
     site.signal(SERVER, signal.SIGCONT)
 
 
-def killer_of(role):
-    """Return an event that kills whoever holds a role."""
+def make_kill_holder(role):
+    """Return a function that kills the daemon that holds a role."""
 
     def kill(site):
         running = next(name for name in ALL_DAEMONS if site.is_running(name))
@@ -172,21 +177,24 @@
 
 
 def restart_daemon(site, name):
-    """Start a killed daemon again."""
+    """Restart a killed daemon and wait until it is ready."""
     site.restart_daemon(name)
     site.wait_ready([name])
 
 
 EVENTS = {
     "server-killed": (kill_server, restart_server),
-    "server-frozen": (freeze_server, thaw_server),
-    "steward-killed": (killer_of(STEWARD), restart_daemon),
-    "planner-killed": (killer_of(PLANNER), restart_daemon),
+    "server-frozen": (pause_server, resume_server),
+    "steward-killed": (make_kill_holder(STEWARD), restart_daemon),
+    "planner-killed": (make_kill_holder(PLANNER), restart_daemon),
 }
 
 
 def main():
-    """Print the table; the exit code says only whether it could be measured."""
+    """Run the benchmark and print a table.
+
+    Exits with 0 once everything was measured, whatever the figures.
+    """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--events", type=int, default=20)
     parser.add_argument("--kinds", nargs="*", default=list(EVENTS))
@@ -196,13 +204,17 @@
         site = Site()
         try:
             start_small(site)
-            gaps_s = measure(site, *EVENTS[kind], options.events)
+            outages_s = measure_outages(site, *EVENTS[kind], options.events)
         finally:
             site.stop()
             shutil.rmtree(site.folder, ignore_errors=True)
-        low, mid, high = min(gaps_s), statistics.median(gaps_s), max(gaps_s)
-        cells = "".join(f"{value * 1000:>10.0f} " for value in (low, mid, high))
-        print(f"{kind:>16}{len(gaps_s):>8}{cells}", flush=True)
+        min_s, median_s, max_s = (
+            min(outages_s),
+            statistics.median(outages_s),
+            max(outages_s),
+        )
+        cells = "".join(f"{value * 1000:>10.0f} " for value in (min_s, median_s, max_s))
+        print(f"{kind:>16}{len(outages_s):>8}{cells}", flush=True)
     return 0
 
 
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -1,8 +1,7 @@
-"""Baselines of the request path: a bare relay, and a server that answers at once.
+"""Baselines for the request path: a minimal relay and a server without processing time.
 
-The relay is made from the same two libraries as the entry and decides nothing. It
-checks, retries and measures nothing either, so what the entry costs beyond it is the
-price of all of these.
+The relay uses the same two libraries as the entry, but makes no routing decisions,
+checks, retries or measurements. The difference to the entry is the cost of these.
 """
 
 from gevent import monkey
@@ -20,26 +19,26 @@
 from tarragonramp.adapters.http import split_address  # noqa: E402
 from tarragonramp.adapters.web import REASONS, WebServer  # noqa: E402
 
-ANSWER = b"x" * 200
+RESPONSE_BODY = b"x" * 200
 CONCURRENCY = 64
 
 
-class QuickServer(BackendStandIn):
-    """A backend server that checks ownership and answers at once."""
+class ImmediateServer(BackendStandIn):
+    """A backend server that checks ownership and responds immediately."""
 
     def _serve(self, environ, body, start_response):
         status = REASONS[200 if self._owns(environ) else 409]
         headers = [
             ("Content-Type", "text/plain"),
-            ("Content-Length", str(len(ANSWER))),
+            ("Content-Length", str(len(RESPONSE_BODY))),
             ("X-Request-Id", environ.get("HTTP_X_REQUEST_ID", "")),
         ]
         start_response(status, headers)
-        return [ANSWER]
+        return [RESPONSE_BODY]
 
 
 class RelayServer(WSGIServer):
-    """The library's server as it comes, but for TCP_NODELAY."""
+    """The library's server with its defaults, except that TCP_NODELAY is settable."""
 
     no_delay = True
 
@@ -50,7 +49,7 @@
 
 
 def make_relay(address):
-    """Return a WSGI application that passes each request on to an address."""
+    """Return a WSGI application that forwards each request to an address."""
     host, port = split_address(address)
     client = HTTPClient(host, port, concurrency=CONCURRENCY)
 
@@ -65,15 +64,15 @@
             target += "?" + environ["QUERY_STRING"]
         body = environ["wsgi.input"].read()
         response = client.request(environ["REQUEST_METHOD"], target, body, headers)
-        answer = bytes(response.read())
+        response_body = bytes(response.read())
         start_response(f"{response.status_code} Status", list(response.items()))
-        return [answer]
+        return [response_body]
 
     return relay
 
 
 def main():
-    """Run one of the baselines until it is killed."""
+    """Run one of the baseline servers until it is killed."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("role", choices=("server", "divided-server", "relay"))
     parser.add_argument("--address", required=True)
@@ -90,7 +89,7 @@
         server.no_delay = not options.nagle
     else:
         divided = options.role == "divided-server"
-        application = QuickServer("quick", io.StringIO(), divided, 64, 0.0)
+        application = ImmediateServer("quick", io.StringIO(), divided, 64, 0.0)
         server = WebServer(options.address, application)
     server.serve_forever()
 
--- a/bench/request_path.py
+++ b/bench/request_path.py
@@ -1,7 +1,7 @@
-"""Measures what the router adds to a request: latency, and CPU time of the entry.
+"""Measures the latency and CPU time that the router adds to a request.
 
-Small replies over loopback, direct, through a bare relay and through one daemon, all
-in the same run. Ends by itself in about a minute.
+Sends requests with small responses over loopback: directly, through a minimal relay and
+through one daemon, all in the same run. Takes about a minute.
 """
 
 from gevent import monkey
@@ -27,7 +27,7 @@
 MAX_P50_RATIO = 3.0
 NAGLE_GAP_MS = 20.0
 NAGLE_REQUESTS = 30
-DECLARED = """
+DECLARATIONS = """
 kind: Template
 name: bench
 spec:
@@ -48,14 +48,14 @@
 
 
 @attrs.frozen
-class Path:
-    """One way to a server.
+class MeasuredPath:
+    """One way to send requests to a server.
 
     Parameters
     ----------
     label, address, target : str
     process : psutil.Process or None
-        Whose CPU time is read.
+        Process whose CPU time is measured; None for none.
     """
 
     label: str
@@ -65,28 +65,34 @@
 
 
 def main():
-    """Measure, print a table, and return 0 if the targets are met."""
+    """Run the benchmark and print tables.
+
+    Returns
+    -------
+    exit_code : int
+        0 if the targets are met, else 1.
+    """
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--repetitions", type=int, default=3)
     parser.add_argument("--requests", type=int, default=1500)
     options = parser.parse_args()
-    site, others = Site(), []
+    site, helper_processes = Site(), []
     try:
-        paths, nagle = _start(site, others)
+        paths, nagle = _start(site, helper_processes)
         return _measure(paths, nagle, options)
     finally:
         site.stop()
-        for process in others:
+        for process in helper_processes:
             process.kill()
             process.wait()
         shutil.rmtree(site.folder, ignore_errors=True)
 
 
-def _start(site, others):
+def _start(site, helper_processes):
     def start(*arguments):
         command = [sys.executable, "-m", "bench.relay", *arguments]
-        others.append(subprocess.Popen(command))
-        return psutil.Process(others[-1].pid)
+        helper_processes.append(subprocess.Popen(command))
+        return psutil.Process(helper_processes[-1].pid)
 
     pages, records, relay, nagle = (free_address() for _ in range(4))
     start("server", "--address", pages)
@@ -110,22 +116,22 @@
         ],
     )
     site.wait_ready(["d1"])
-    declared = f"{site.folder}/bench.yaml"
-    with open(declared, "w", encoding="utf-8") as stream:
-        stream.write(DECLARED)
-    done = site.command("apply", "--file", declared, daemon="d1")
+    declarations_path = f"{site.folder}/bench.yaml"
+    with open(declarations_path, "w", encoding="utf-8") as stream:
+        stream.write(DECLARATIONS)
+    done = site.command("apply", "--file", declarations_path, daemon="d1")
     if done.returncode != 0:
         raise RuntimeError(done.stderr)
     site.wait_owned("d1")
     daemon = psutil.Process(site.processes["d1"].pid)
     entry = site.caller_address("d1")
     paths = [
-        Path("direct", pages, "/pages/1"),
-        Path("relay", relay, "/pages/1", relay_process),
-        Path("router, shared", entry, "/pages/1", daemon),
-        Path("router, divided", entry, "/records/1", daemon),
+        MeasuredPath("direct", pages, "/pages/1"),
+        MeasuredPath("relay", relay, "/pages/1", relay_process),
+        MeasuredPath("router, shared", entry, "/pages/1", daemon),
+        MeasuredPath("router, divided", entry, "/records/1", daemon),
     ]
-    return paths, Path("relay, no TCP_NODELAY", nagle, "/pages/1")
+    return paths, MeasuredPath("relay, no TCP_NODELAY", nagle, "/pages/1")
 
 
 def _measure(paths, nagle, options):
@@ -145,7 +151,7 @@
                 cpu_us[path.label].append(_cpu_us(path, 2 * options.requests))
     _print_table("p50, one caller, ms", p50_ms)
     _print_table(f"CPU per request, {N_CALLERS} callers, us", cpu_us)
-    return _verdict(p50_ms, cpu_us)
+    return _check_targets(p50_ms, cpu_us)
 
 
 def _print_table(title, rows):
@@ -155,41 +161,41 @@
         print(f"  {label:<32}" + "".join(f"{cell:>10.3f}" for cell in cells))
 
 
-def _verdict(p50_ms, cpu_us):
-    """Compare medians of the same run with the targets."""
-    middle = statistics.median
-    faults = 0
+def _check_targets(p50_ms, cpu_us):
+    """Compare the medians of this run with the targets; return the exit code."""
+    compute_median = statistics.median
+    n_missed = 0
     for label in ("router, shared", "router, divided"):
-        p50_ratio = middle(p50_ms[label]) / middle(p50_ms["direct"])
-        cpu_ratio = middle(cpu_us[label]) / middle(cpu_us["relay"])
+        p50_ratio = compute_median(p50_ms[label]) / compute_median(p50_ms["direct"])
+        cpu_ratio = compute_median(cpu_us[label]) / compute_median(cpu_us["relay"])
         gap_ms = max(p50_ms[label]) - min(p50_ms["direct"])
-        met = (
+        is_met = (
             p50_ratio <= MAX_P50_RATIO
             and cpu_ratio <= MAX_CPU_RATIO
             and gap_ms < NAGLE_GAP_MS
         )
-        faults += not met
+        n_missed += not is_met
         print(
             f"{label}: p50 {p50_ratio:.2f} of direct (at most {MAX_P50_RATIO}), CPU"
             f" {cpu_ratio:.2f} of relay (at most {MAX_CPU_RATIO}), gap {gap_ms:.1f} ms"
-            f" (a lost TCP_NODELAY shows as some 40): {'met' if met else 'MISSED'}"
+            f" (about 40 ms without TCP_NODELAY): {'met' if is_met else 'MISSED'}"
         )
-    return 1 if faults else 0
+    return 1 if n_missed else 0
 
 
 def _latencies_ms(path, n_requests):
     pool = HttpPool(path.address)
     times_ms = []
     for i in range(n_requests):
-        began_s = time.perf_counter()
+        start_s = time.perf_counter()
         _request(pool, path, i)
-        times_ms.append((time.perf_counter() - began_s) * 1000.0)
+        times_ms.append((time.perf_counter() - start_s) * 1000.0)
     pool.close()
     return times_ms
 
 
 def _cpu_us(path, n_requests):
-    """Return the CPU time of a process for each request, its control included."""
+    """Return a process's CPU time per request, including its control work."""
     pool = HttpPool(path.address)
 
     def call(first):
@@ -201,8 +207,8 @@
     gevent.joinall(tasks, raise_error=True)
     after = path.process.cpu_times()
     pool.close()
-    used_s = after.user + after.system - before.user - before.system
-    return used_s / n_requests * 1e6
+    cpu_s = after.user + after.system - before.user - before.system
+    return cpu_s / n_requests * 1e6
 
 
 def _request(pool, path, number):
@@ -212,9 +218,9 @@
         ("User-Agent", "bench"),
         ("Accept", "*/*"),
     ]
-    answer = pool.exchange("GET", path.target, headers, b"", 5000).unwrap()
-    if answer.status != 200 or len(answer.body) != 200:
-        raise RuntimeError(f"{path.label}: {answer.status} {answer.body[:100]!r}")
+    response = pool.exchange("GET", path.target, headers, b"", 5000).unwrap()
+    if response.status != 200 or len(response.body) != 200:
+        raise RuntimeError(f"{path.label}: {response.status} {response.body[:100]!r}")
 
 
 if __name__ == "__main__":
