--- a/tests/test_faults_operators.py
+++ b/tests/test_faults_operators.py
@@ -105,10 +105,10 @@
             for index, daemon in enumerate(ALL_DAEMONS)
         ]
         gevent.joinall(tasks, raise_error=True)
-        statuses = sorted(answer.status for answer in replies.values())
+        statuses = sorted(reply.status for reply in replies.values())
         self.assertEqual(statuses, [200, 409, 409, 409])
         won = self.site.operator("d1", "objects/Team/fraser-valley")
-        winner = next(d for d, answer in replies.items() if answer.status == 200)
+        winner = next(d for d, reply in replies.items() if reply.status == 200)
         expected = 4 + ALL_DAEMONS.index(winner)
         self.assertEqual(won["spec"]["parameters"]["slots"], expected)
         until_s = time.monotonic() + PROPAGATION_LIMIT_S
