--- a/src/tarragonramp/roles/leadership.py
+++ b/src/tarragonramp/roles/leadership.py
@@ -26,29 +26,34 @@
 MAX_UPDATE_WAIT_MS = 500.0
 """Longest time that a leader delays its response to a daemon until there are updates.
 
-It also bounds how soon a leader that does not respond is noticed: this and the timeout
-of the ping leave enough time for changes to be in force after two seconds."""
+It is also part of the time after which a leader that does not respond is noticed.
+Together with the timeout of the ping it leaves enough time for changes to be in force
+after two seconds."""
 
 MIN_UPDATE_WAIT_MS, UPDATE_WAIT_PER_DAEMON_MS = 150.0, 14.0
-"""Shortest such time while requests queue at some server, and its increase per daemon.
+"""Replace the longest time while requests queue at some server: the delay is then the
+second value times the number of daemons, but at least the first value and at most the
+longest time.
 
 The daemons' counts of requests in flight are exchanged with the pings. While all
 daemons send to the owners of the same busy keys, counts that are half a second old hide
 the queues there. More frequent pings cost traffic between failure domains, so they are
-used only while there are queues, and the leader of a large fleet could not respond that
-often."""
+used only while there are queues. The leader of a large fleet could not respond that
+often, so the delay grows with the number of daemons."""
 
 WATCHER_REPORT_MS = 100.0
-"""Longest such time for daemons that follow the store for a leader cut off from it.
+"""Longest delay of the response to a daemon that follows the store for this leader.
 
-What they read reaches the leader with their next ping."""
+It is used while the leader is cut off from the store. What the daemon has read reaches
+the leader only with its next ping."""
 
 MIN_PING_INTERVAL_MS = 30.0
 PING_INTERVAL_PER_DAEMON_MS = 2.0
-"""Shortest interval between two pings of a daemon, and its increase per daemon.
+"""Interval between two pings of a daemon: the second value times the number of daemons,
+with the first value as the minimum pause after a response.
 
-While something changes all the time, each ping is responded to at once. Without a
-minimum interval the responses would fill the link of a small VM that leads, and all
+While something changes all the time, the leader responds to each ping at once. Without
+a minimum interval the responses would fill the link of a leader on a small VM, and all
 updates would be late."""
 
 MAX_UNANSWERED_PINGS = 2
@@ -60,7 +65,7 @@
 RESIGN_POLL_MS = 200.0
 """Interval at which a resigning leader checks whether the store responds to it."""
 
-LOADS_VALID_MS = 1500.0
+IN_FLIGHT_VALID_MS = 1500.0
 """How long a daemon's counts of its requests in flight are passed on."""
 
 RECENTLY_HEARD_MS = 2000.0
@@ -85,8 +90,8 @@
 DAEMON_EXPIRY_MS = 15_000.0
 """How long a daemon that sends no pings any more counts as part of the fleet.
 
-The time is long, since its share of the load of cold servers is free only once the
-daemon has certainly stopped."""
+The time is long, since other daemons may use its share of the load of cold servers only
+once it has certainly stopped."""
 
 
 @attrs.define(eq=False, repr=False)
@@ -131,11 +136,11 @@
     inherited: InheritedGrants = InheritedGrants()
     in_doubt_grants: object = InheritedGrants
     _key_loads: KeyLoadAggregate = attrs.Factory(KeyLoadAggregate)
-    _reported_loads: dict = attrs.Factory(dict)
+    _reported_in_flight: dict = attrs.Factory(dict)
     _last_heard_ms: dict = attrs.Factory(dict)
     _domains: dict = attrs.Factory(dict)
     _clock_readings_ms: dict = attrs.Factory(dict)
-    _last_hears_store: bool = True
+    _logged_hears_store: bool = True
     _unanswered_pings: int = 0
     _next_check_ms: float = 0.0
     _record_check: object = None
@@ -202,7 +207,7 @@
     def resign(self):
         """Release leadership, so that another daemon can acquire it at once.
 
-        Not while the store does not respond: no daemon could take over, and the
+        Blocks while the store does not respond: no daemon could take over, and the
         servers' grants would expire without renewals. Renewals continue until the store
         responds or this process ends.
         """
@@ -245,7 +250,7 @@
         self._domains[name] = message.get("domain", "")
         self.record_clock_reading(address, message.get("clock_ms"))
         self._key_loads.add(message.get("heat", {}), self.clock.now_ms())
-        self._reported_loads[name] = message.get("loads", {}), self.clock.now_ms()
+        self._reported_in_flight[name] = message.get("loads", {}), self.clock.now_ms()
         self.follower.compare_digests(name, message.get("digest", {}))
         versions = message["versions"]
         self.follower.catch_up(address, versions)
@@ -262,16 +267,18 @@
         }
         if message.get("n_daemons") != len(self.view.daemons):
             answer["daemons"] = self.view.daemons
-        answer["loads"] = self.follower.roster.pack(self._loads_except(name, now_ms))
+        answer["loads"] = self.follower.roster.pack(
+            self._in_flight_except(name, now_ms)
+        )
         if "digest" in message:
             answer["digest"] = self.view.digest()
         return answer
 
     def _await_updates(self, name, versions):
-        """Return what is newer than a daemon's versions, or nothing after a time.
+        """Return what is newer than a daemon's versions, waiting for it for a time.
 
-        Also returns nothing as soon as this daemon loses the store: the sender may have
-        to follow the store in its place.
+        Returns nothing after that time, or as soon as this daemon loses the store: the
+        sender may have to follow the store in its place.
         """
         had_store = self._hears_store(self.clock.now_ms())
         is_watcher = not had_store and name in self.view.watchers
@@ -299,17 +306,17 @@
     def _has_queues(self):
         """Return whether any server has more requests in flight than slots."""
         servers = self.view.directory.servers
-        totals = self._loads_except("", self.clock.now_ms())
+        totals = self._in_flight_except("", self.clock.now_ms())
         return any(
             name in servers and count > servers[name].slots
             for name, count in totals.items()
         )
 
-    def _loads_except(self, name, now_ms):
+    def _in_flight_except(self, name, now_ms):
         """Return the requests in flight by server, of all daemons but one."""
         totals = dict(self.selector.in_flight_by_server()) if name != self.name else {}
-        for other, (loads, at_ms) in self._reported_loads.items():
-            if other == name or at_ms < now_ms - LOADS_VALID_MS:
+        for other, (loads, at_ms) in self._reported_in_flight.items():
+            if other == name or at_ms < now_ms - IN_FLIGHT_VALID_MS:
                 continue
             for server, count in loads.items():
                 totals[server] = totals.get(server, 0) + count
@@ -319,15 +326,15 @@
         return self.follower.hears_store and self._ms_until_store_lost(now_ms) > 0
 
     def _ms_until_store_lost(self, now_ms):
-        """Return the time until the store counts as lost if no call succeeds."""
+        """Return the time in ms until the store counts as lost if no call succeeds."""
         stale_in_ms = CONFIRMATION_EXPIRY_MS - self.standing.confirmed_age_ms(now_ms)
         return min(stale_in_ms, self.follower.ms_until_cut_off)
 
     def _log_store_reachability(self, hears_store, now_ms):
         """Log once that this leader has lost the store, or reaches it again."""
-        if hears_store == self._last_hears_store:
+        if hears_store == self._logged_hears_store:
             return
-        self._last_hears_store = hears_store
+        self._logged_hears_store = hears_store
         log_event(
             "leader-hears-store" if hears_store else "leader-lost-store",
             confirmed_ms_ago=round(self.standing.confirmed_age_ms(now_ms)),
@@ -376,7 +383,13 @@
         return self.view.watchers
 
     def handle_step_down(self, term, successor=""):
-        """Stop leading, since the daemon at the given address has a later term.
+        """Stop leading if another daemon has taken over with a later term.
+
+        Parameters
+        ----------
+        term : int
+        successor : str, default=""
+            Address of the daemon that leads in this term; empty if unknown.
 
         Returns
         -------
@@ -394,6 +407,7 @@
         return {"boot_id": self.boot_id, "leads": leads, "doubts": in_doubt_grants}
 
     def recent_load(self, service):
+        """Return the KeyLoad of a service, as reported by all daemons."""
         return self._key_loads.recent_load(service, self.clock.now_ms())
 
     def _record_daemon(self, name, address):
@@ -419,7 +433,7 @@
             now_ms = self.clock.now_ms()
             self._key_loads.add(self.view.work.drain(self.view.tables), now_ms)
             self.selector.update_peer_in_flight(
-                self._loads_except(self.name, now_ms), now_ms
+                self._in_flight_except(self.name, now_ms), now_ms
             )
             return
         error = result.failure()
@@ -431,17 +445,14 @@
             self._read_back_record()
 
     def _read_back_record(self):
-        """Read the record after a write that had no response.
-
-        The write may have taken effect.
-        """
+        """Read the record after a write that may have taken effect without a response."""
         result = self.store.get(LEADER_KIND, LEADER_NAME)
         if is_successful(result):
             self._handle_other_record(result.unwrap())
 
     def _handle_other_record(self, stored):
         """Handle a record that differs from the one last written."""
-        record = None if stored is None else _parsed_record(stored)
+        record = None if stored is None else _parse_record(stored)
         if record is not None and record.boot_id == self.boot_id:
             # The record is from this daemon's own write, whose response was lost.
             self.standing.version = stored.version
@@ -468,7 +479,7 @@
         now_ms = self.clock.now_ms()
         if is_successful(result):
             stored = result.unwrap()
-            self._observe_record(_parsed_record(stored), stored.version)
+            self._observe_record(_parse_record(stored), stored.version)
         elif isinstance(result.failure(), NotFoundError):
             self._observe_record(None, 0)
         else:
@@ -519,7 +530,7 @@
             error = result.failure()
             if isinstance(error, ConflictError) and error.current is not None:
                 self._observe_record(
-                    _parsed_record(error.current), error.current.version
+                    _parse_record(error.current), error.current.version
                 )
             return
         self._unanswered_pings = 0
@@ -545,7 +556,10 @@
         return self.clock.now_ms() + right_ms
 
     def _inherited_after(self, stopped_ms):
-        """Return the inherited grants if only elapsed time shows a stop."""
+        """Return the InheritedGrants of leaders that have stopped by the given time.
+
+        Their grants are not known, so any of them may still take effect for a while.
+        """
         return InheritedGrants(stopped_ms, stopped_ms + LATE_GRANT_MS)
 
     def _inherit(self, before, term):
@@ -658,7 +672,7 @@
             self.follower.follow_leader(address)
 
 
-def _parsed_record(stored):
+def _parse_record(stored):
     try:
         return LeaderRecord.from_spec(stored.spec)
     except (ValueError, TypeError):
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -387,5 +387,7 @@
         server = BackendServer("s1", 1, "desk", "s1:80", "a", 3)
         self.other.selector.record_sent(Selection(server, "r", 0.0))
         self.other._discover_leader()
-        self.assertEqual(self.one._loads_except("d1", self.clock.now_ms()), {"s1": 1})
-        self.assertEqual(self.one._loads_except("d2", self.clock.now_ms()), {})
+        self.assertEqual(
+            self.one._in_flight_except("d1", self.clock.now_ms()), {"s1": 1}
+        )
+        self.assertEqual(self.one._in_flight_except("d2", self.clock.now_ms()), {})
