--- a/src/tarragonramp/roles/granter.py
+++ b/src/tarragonramp/roles/granter.py
@@ -26,7 +26,7 @@
 from ..range_placement import Candidate, initial_table, plan_moves
 from .grants import GrantTracker
 from .mover import Mover
-from .relay import MIN_RANGES, has_no_connection
+from .relay import MIN_RELAYED_RANGES, has_no_connection
 from .tasks import keep_running
 
 __all__ = ["Granter"]
@@ -45,12 +45,10 @@
 REBALANCE_INTERVAL_MS = 400.0
 """Interval between two searches for busy keys, which become busy within seconds."""
 
-
 RETRY_MS, MAX_RETRY_MS = 250.0, 1000.0
 """Minimum and maximum delay between two attempts to reach a server that does not
 respond."""
 
-
 BATCH_MS = 20.0
 """How long completed moves are collected before the table is written.
 
@@ -85,7 +83,7 @@
     mover: Mover = attrs.field(init=False)
     n_moves: int = 0
     _renewal_tasks: dict = attrs.Factory(dict)
-    _candidates_seen: dict = attrs.Factory(dict)
+    _candidate_counts: dict = attrs.Factory(dict)
     _raise_requests: set = attrs.Factory(set)
     _last_rebalance_ms: dict = attrs.Factory(dict)
     _tables_read: set = attrs.Factory(set)
@@ -103,7 +101,7 @@
             if self.leadership.leads:
                 if self.tracker.begin_term():
                     self.mover.begin_term()
-                    self._candidates_seen.clear()
+                    self._candidate_counts.clear()
                     self._raise_requests.clear()
                     self._tables_read.clear()
                 asked = set(self._raise_requests)
@@ -193,8 +191,8 @@
                 cut=len(changed) - len(moved),
                 moving=n_moving,
                 candidates=len(candidates),
-                owners_before=_joined(item.old_owner for item in moved),
-                owners=_joined(item.owner for item in moved),
+                owners_before=_join_names(item.old_owner for item in moved),
+                owners=_join_names(item.owner for item in moved),
             )
             self.n_moves += len(moved)
         addresses = {candidate.name: candidate.address for candidate in candidates}
@@ -222,7 +220,7 @@
             whole = table.find(item.first)
             if whole.first != item.first:
                 token = item.old_token if item.is_moving else item.token
-                self.tracker.copy_to_piece(service, whole.first, item.first, token)
+                self.tracker.share_with_piece(service, whole.first, item.first, token)
 
     def _due_token_raises(self, service, table):
         """Return the ranges whose tokens are to be raised now."""
@@ -237,13 +235,13 @@
     def _with_raised_tokens(self, service, items):
         """Return ranges with raised tokens, after preparing their grant records."""
         for item in items:
-            self.tracker.copy_to_raised_token(service, item)
+            self.tracker.share_with_raised_token(service, item)
         if items:
             log_event(
                 "tokens-raised",
                 service=service,
                 ranges=len(items),
-                owners=_joined(item.owner for item in items),
+                owners=_join_names(item.owner for item in items),
             )
         return [item.raised() for item in items]
 
@@ -316,18 +314,19 @@
         return not self.tracker.have_expired(service, item.first, item.token)
 
     def _assign_initially(self, service, candidates):
+        """Write the first table once the number of candidates is stable; else None."""
         now_ms = self.clock.now_ms()
-        n_before, since_ms = self._candidates_seen.get(service, (0, now_ms))
+        n_before, since_ms = self._candidate_counts.get(service, (0, now_ms))
         if len(candidates) != n_before:
             since_ms = now_ms
-        self._candidates_seen[service] = len(candidates), since_ms
+        self._candidate_counts[service] = len(candidates), since_ms
         if not candidates or now_ms < since_ms + INITIAL_ASSIGNMENT_DELAY_MS:
             return None
         log_event("keys-dealt", service=service, servers=len(candidates))
         assigned = initial_table(service, candidates)
         return self._write(service, assigned, assigned.ranges)
 
-    def _write(self, service, table, renewed=()):
+    def _write(self, service, table, with_new_tokens=()):
         """Write a table on condition of its version; return it, or None if that failed.
 
         Parameters
@@ -341,7 +340,7 @@
         result = self.store.put(RANGES, service, table.to_spec(), version)
         if is_successful(result):
             self.view.update_table(table, result.unwrap().version)
-            for item in renewed:
+            for item in with_new_tokens:
                 self.tracker.mark_unsent(service, item)
             return table
         error = result.failure()
@@ -421,16 +420,17 @@
         return self._renew_server(service, identity, raised, connection_state)
 
     def _raise_tokens(self, service, items):
-        """Request raised tokens for a server, so that connections to it may be opened.
+        """Wait until tokens of a server are raised, so that connections may be opened.
 
         The server may have restarted under its name, and would accept a token that its
         earlier process instance was given. While the store cannot be written, the
-        server gets no grant that needs a new connection: keys without an owner for the
-        rest of an outage are a smaller harm than keys with two owners.
+        server gets no grant that needs a new connection: keys that have no owner for
+        the rest of an outage are better than keys that have two.
 
         Returns
         -------
         is_done : bool
+            False if this daemon may not move keys any more.
         """
         while self.leadership.may_move:
             pending = {
@@ -478,7 +478,9 @@
         connection_state.unconnected = []
         owner = identity[0]
         due = [item for item in items if self._is_due(service, item)]
-        is_relay_worthwhile = len(self._ranges_of(service, identity)) >= MIN_RANGES
+        is_relay_worthwhile = (
+            len(self._ranges_of(service, identity)) >= MIN_RELAYED_RANGES
+        )
         relay = self.relays.pick(owner) if due and is_relay_worthwhile else ""
         if not relay:
             return self._renew_directly(service, due, connection_state)
@@ -563,5 +565,5 @@
         connection_state.is_broken = True
 
 
-def _joined(names):
+def _join_names(names):
     return ",".join(sorted(set(names)))
--- a/src/tarragonramp/roles/grants.py
+++ b/src/tarragonramp/roles/grants.py
@@ -58,8 +58,10 @@
 
     Parameters
     ----------
-    sent_ms : float
-        From when the hold of the latest grant is counted.
+    hold_from_ms : float
+        From when the hold of the latest grant is counted: the time of the response, or
+        of the failure if the grant may have been received. At first, when earlier
+        leaders have stopped.
     in_doubt_until_ms : float
         Until when a grant without a response may still be carried out.
     n_in_flight : int
@@ -68,7 +70,7 @@
         Attempts to fence the owner.
     """
 
-    sent_ms: float = float("-inf")
+    hold_from_ms: float = float("-inf")
     in_doubt_until_ms: float = float("-inf")
     n_in_flight: int = 0
     fences: int = 0
@@ -76,7 +78,7 @@
 
 @attrs.define(eq=False)
 class _ConnectionState:
-    """How grants to one process instance of a server have fared.
+    """State of the connection for the grants to one process instance of a server.
 
     Parameters
     ----------
@@ -136,8 +138,9 @@
     def begin_term(self):
         """Discard the recorded grants if the term has changed; return whether it has.
 
-        A leader that the store could not confirm for some time, and that no other
-        daemon has replaced, still knows all grants, since no other daemon has sent any.
+        They are kept otherwise. A leader that the store could not confirm for some
+        time, and that no other daemon has replaced, still knows all grants, since no
+        other daemon has sent any.
         """
         term = self.leadership.term
         if term == self._term:
@@ -280,7 +283,7 @@
         """Return whether no server has been sent the token of a range yet."""
         return (service, item.first, item.token) in self._unsent
 
-    def copy_to_raised_token(self, service, item):
+    def share_with_raised_token(self, service, item):
         """Record earlier grants under the token that a range is about to be raised to.
 
         The owner stays the same, so what it may hold under the current token counts for
@@ -295,9 +298,9 @@
         if is_successful(result):
             # The hold is counted from the response: the grant cannot have arrived
             # later.
-            state.sent_ms = self.clock.now_ms()
+            state.hold_from_ms = self.clock.now_ms()
         elif not isinstance(result.failure(), NOT_GRANTED_ERRORS):
-            state.sent_ms = self.clock.now_ms()
+            state.hold_from_ms = self.clock.now_ms()
             state.in_doubt_until_ms = sent_ms + LATE_GRANT_MS
 
     def _state_of(self, service, first, token):
@@ -311,7 +314,7 @@
             self._grant_states[key] = state
         return state
 
-    def copy_to_piece(self, service, whole_first, first, token):
+    def share_with_piece(self, service, whole_first, first, token):
         """Record that a piece was split off a range under the same token.
 
         Grants of the whole range may still be in flight, so all pieces share one state
@@ -341,20 +344,22 @@
         return self.view.tables[service].addresses.get(name, "")
 
     def forget(self, service, first, token):
-        """Discard the grants of a range under a token whose holder has released it."""
+        """Discard the grants of a range under a token that can no longer be held."""
         self._grant_states.pop((service, first, token), None)
 
     def connection_state(self, identity):
-        """Return how grants to a process instance of a server have fared."""
+        """Return the connection state of a process instance, by name and start time."""
         return self._connection_states[identity]
 
     def mark_reachable(self, name, connection_state):
+        """Clear a recorded failure of a server that has responded, and log its end."""
         if connection_state.failing_since_ms is not None:
             after_ms = round(self.clock.now_ms() - connection_state.failing_since_ms)
             log_event("server-regained", server=name, after_ms=after_ms)
             connection_state.failing_since_ms = None
 
     def is_unreachable(self, identity):
+        """Return whether grants to a process instance have failed for too long."""
         since_ms = self._connection_states[identity].failing_since_ms
         return (
             since_ms is not None
@@ -441,7 +446,7 @@
         state = self._state_of(service, first, token)
         if state.n_in_flight:
             return False
-        end_ms = state.sent_ms + self.timing.longest_hold_ms
+        end_ms = state.hold_from_ms + self.timing.longest_hold_ms
         return self.clock.now_ms() > max(end_ms, state.in_doubt_until_ms)
 
     def has_later_life(self, name, life):
--- a/src/tarragonramp/roles/mover.py
+++ b/src/tarragonramp/roles/mover.py
@@ -109,10 +109,12 @@
     def _prove_release(self, service, item):
         """Release a range; return the proof of the release and the handed over state.
 
-        The old owner is asked first, even if its grants have expired: the state that it
-        hands over spares the new owner a cold start. A later process instance of it is
-        asked as well: a grant meant for the earlier instance may have reached it before
-        it was listed.
+        The proof is None if this daemon may no longer continue the move.
+
+        An old owner that is still listed is asked first, even if its grants have
+        expired: the state that it hands over spares the new owner a cold start. A later
+        process instance of it is asked as well: a grant meant for the earlier instance
+        may have reached it before it was listed.
         """
         release_tried = self.view.directory.servers.get(item.old_owner) is None
         while self.tracker.may_act(service, item):
--- a/src/tarragonramp/roles/relay.py
+++ b/src/tarragonramp/roles/relay.py
@@ -44,9 +44,11 @@
 """Timeout of a message to a relay, whose last grant may be sent late and time out."""
 
 EXCLUSION_MS = 10_000.0
-"""How long a relay that failed is not used; the leader then renews directly."""
+"""How long a relay that failed is not used.
 
-MIN_RANGES = 3
+Meanwhile another relay of the failure domain is used, or the leader renews directly."""
+
+MIN_RELAYED_RANGES = 3
 """With fewer ranges a message to a relay is not worthwhile."""
 
 GRANTED = "done"
@@ -210,7 +212,7 @@
         return results
 
     def _send_message(self, relay, message):
-        """Send a message; send it again if the clock reading in it was too old."""
+        """Send a message; send it once more if the relay asks for a newer reading."""
         clock_ms = self.leadership.clock_reading_of(relay)
         for _ in range(2):
             stamped = {**message, "clock_ms": clock_ms}
@@ -221,7 +223,7 @@
         return result
 
     def exclude(self, relay, server):
-        """Do not use a relay for some time, since it could not reach a server."""
+        """Exclude a relay for some time, since it could not reach a server."""
         self._excluded_until_ms[relay] = self.clock.now_ms() + EXCLUSION_MS
         log_event("relay-passed-over", relay=relay, server=server)
 
