--- a/src/tarragonramp/roles/follower.py
+++ b/src/tarragonramp/roles/follower.py
@@ -49,8 +49,10 @@
 After a single lost response the next call, a tenth of a second later, succeeds. Other
 daemons should not turn to the store for each of these."""
 
-FAILURE_AFTERMATH_MS = 6000.0
-"""How long after a failure of the store a missing server entry may come back."""
+RECENT_FAILURE_MS = 6000.0
+"""How long a failure of the store counts as recent.
+
+Meanwhile watches are shorter, and a server entry that disappears may come back."""
 
 MISMATCH_TIMEOUT_MS = 500.0
 """How long a peer's state may differ before this daemon reads the store again.
@@ -134,7 +136,7 @@
 
     @property
     def ms_until_cut_off(self):
-        """Time until this daemon counts as cut off if no call succeeds."""
+        """Time until this daemon counts as cut off from the store if no call works."""
         since_ms = min(self.failing_since_ms.values(), default=math.inf)
         return since_ms + CUT_OFF_AFTER_MS - self.clock.now_ms()
 
@@ -189,7 +191,7 @@
         -------
         updates : dict of str to dict
             By kind: the version here; how long ago the store last failed (None if that
-            is long past); the newer objects, of tables of ranges only the changes; and
+            is not recent); the newer objects, of tables of ranges only the changes; and
             either the names of removed objects and the version since which they were
             removed, or the names of all objects. For servers also how many ms those
             that may come back have been missing.
@@ -227,7 +229,7 @@
         }
 
     def _row_of(self, item, since_version):
-        """Return an object as a row: whole, or as changes since a base version."""
+        """Return an object as a row of updates: whole, or changes to a base version."""
         changes = None
         if item.kind == RANGES:
             changes = self.history.changes(item.name, since_version)
@@ -261,7 +263,8 @@
             else:
                 names = set(found["names"])
             if None in items or not names <= known.keys():
-                # The updates rely on objects that this daemon does not have.
+                # The updates rely on objects that this daemon does not have. Without
+                # versions, it is sent everything next time.
                 self.versions.pop(kind, None)
                 self.changed.pop(kind, None)
                 continue
@@ -273,7 +276,7 @@
         return self._removals.setdefault(kind, RemovalLog())
 
     def _note_peer_failure_age(self, age_ms):
-        """Adopt the age of a store failure that another daemon reports, if it is later.
+        """Adopt a store failure that another daemon reports, if it is more recent.
 
         Daemons exchange the age, since the mere fact of a failure would be passed back
         and forth between them forever.
@@ -295,10 +298,11 @@
         return Stored(kind, name, version, table.to_spec())
 
     def compare_digests(self, peer, digest):
-        """Compare a peer's state with this daemon's; read again what differs for long.
+        """Compare a peer's state with this daemon's, by kind of object.
 
-        This guards against a watch whose response was lost: it waits on a connection
-        that appears to be alive, and this daemon would keep outdated state.
+        A kind that keeps differing is read again from the store. This guards against a
+        watch whose response was lost: it waits on a connection that appears to be
+        alive, and this daemon would keep outdated state.
         """
         own, now_ms = self.view.digest(), self.clock.now_ms()
         for kind, known in own.items():
@@ -313,7 +317,13 @@
                 task.kill(block=False)
 
     def _read_next(self, kind):
-        """Get the next changes of a kind, by a watch or by reading everything."""
+        """Read the next changes of a kind, by a watch or by reading everything.
+
+        Returns
+        -------
+        succeeded : bool
+            False if the store has failed, so that the next call has to wait.
+        """
         version = self.versions.get(kind)
         if version is None or kind in self._to_reread:
             return self._read_snapshot(kind)
@@ -415,9 +425,9 @@
             log_event("store-lost", level=logbook.WARNING, kind=kind, reason=str(error))
 
     def _failure_age_ms(self):
-        """Return how long ago the store last failed; None if that is long past."""
+        """Return how long ago the store last failed; None if that is not recent."""
         age_ms = self.clock.now_ms() - self._last_failure_ms
-        return age_ms if age_ms < FAILURE_AFTERMATH_MS else None
+        return age_ms if age_ms < RECENT_FAILURE_MS else None
 
     def _replace(self, kind, version, items, via, missing_ms=None):
         """Replace all objects of a kind, unless the list is older than those known.
--- a/src/tarragonramp/roles/membership.py
+++ b/src/tarragonramp/roles/membership.py
@@ -14,6 +14,8 @@
 __all__ = ["Membership"]
 
 REMOTE_PING_ROUNDS = 8
+"""Rounds of pings between two pings of the next daemon of any failure domain."""
+
 REGISTER_RETRY_MS = 200
 
 
@@ -36,6 +38,8 @@
         the answering daemon has seen.
     named_successors : callable
         Returns the identities that the terms held here name as successors.
+    revoked_terms : callable
+        ``revoked_terms(identity)``: as :meth:`TermKeeper.revoked_terms`.
     """
 
     me: object
@@ -107,8 +111,9 @@
     def successor(self, same_domain_only):
         """Return the identity of the next daemon on the ring that answers pings.
 
-        Unless excluded, daemons of other failure domains come first: a role that is
-        not bound to a failure domain must survive the loss of its holder's.
+        Daemons of other failure domains come first, unless they are left out: a role
+        that is not bound to a failure domain must survive the loss of the one that its
+        holder is in.
 
         Parameters
         ----------
@@ -184,8 +189,8 @@
         name, _, boot_id = identity.partition("#")
         if name == self.me.name:
             # A late write of a predecessor may take effect after this process's
-            # registration, so versions do not tell. This process knows which of its
-            # predecessors have ended.
+            # registration, so versions do not show whether a predecessor has ended.
+            # This process knows which of its predecessors may still run.
             return boot_id not in (self.me.boot_id, *self.me.unproven)
         member = self.view.get(KIND_MEMBER, name)
         if member is not None and self._is_declared_lost(member):
--- a/src/tarragonramp/roles/news.py
+++ b/src/tarragonramp/roles/news.py
@@ -44,9 +44,14 @@
     peers : Peers
     clock : Clock
     timing : Timing
+    reached : bool
+        Whether the platform responds, to this daemon or to the one that it follows.
     synced : Event
         Set once objects and VMs have been read. Before that, requests for a declared
-        service would be refused as having no service.
+        service would be refused, as if no service were at their path.
+    source : str or None
+        Name of the daemon that this one follows, or ``PLATFORM``.
+    sources : SourceHealth
     """
 
     me: object
--- a/src/tarragonramp/roles/terms.py
+++ b/src/tarragonramp/roles/terms.py
@@ -68,7 +68,7 @@
         return state is not None and state.held.may_act(self.clock.now_ms())
 
     def revoked_terms(self, identity):
-        """Return, by role, the highest term number that is not confirmed any more.
+        """Return, by role, up to which term number a holder is not confirmed any more.
 
         Parameters
         ----------
@@ -88,7 +88,7 @@
         return found
 
     def on_ping_answer(self, answer, sent_ms):
-        """Prolong the rights that the answer to a ping confirms.
+        """Extend the rights that the answer to a ping confirms.
 
         Parameters
         ----------
@@ -110,10 +110,10 @@
         than a daemon's share of a core.
         """
         self.view.on_change(self._on_view_change)
-        open_roles = []
+        polled_roles = []
         while not self.stopping:
             changed, self._view_changed = self._view_changed, False
-            roles = list(self._roles()) if changed else open_roles
+            roles = list(self._roles()) if changed else polled_roles
             for role, vm in roles:
                 if (
                     role not in self._writing
@@ -121,7 +121,7 @@
                 ):
                     self._check_role(role, vm)
             if changed:
-                open_roles = [
+                polled_roles = [
                     (role, vm) for role, vm in roles if self._may_need_action(role)
                 ]
             gevent.sleep(TICK_MS / 1000.0)
@@ -257,9 +257,9 @@
         is_successor = term is not None and term.successor == identity
         if self.leaving or (not self._is_local(vm) and not is_successor):
             return False
-        departed = lambda holder: self.membership.is_departed(holder, version)
+        is_departed = lambda holder: self.membership.is_departed(holder, version)
         is_silent = lambda holder: self._is_silent(role, holder)
-        if not may_claim(term, identity, departed, is_silent):
+        if not may_claim(term, identity, is_departed, is_silent):
             return False
         return is_successor or self._claim_delay_has_passed(role, vm)
 
@@ -304,7 +304,7 @@
         return names.index(me) if me in names else len(names)
 
     def _choose_successor(self, vm):
-        """Choose the successor to name, and whether renewals may outlast the right.
+        """Choose the successor to name in a term.
 
         A steward's successor is a daemon of the same failure domain, so that a failure
         domain that is cut off continues to serve. If there is none, a daemon of another
@@ -318,6 +318,7 @@
         successor : str
             Identity; empty for nobody.
         lasting : bool
+            Whether grants may be renewed after the right has ended.
         """
         if vm is None:
             return self.membership.successor(False), False
@@ -376,7 +377,7 @@
         if stored is None:
             log_event("term-write-failed", role=state.role, error=result.failure())
             return
-        # The view may hold a newer version by now; this one still prolongs the right.
+        # The view may hold a newer version by now; this one still extends the right.
         term = Term.from_spec(stored.spec)
         self._apply_term(state, term, stored.version, sent_ms)
 
@@ -392,8 +393,8 @@
         self.view.apply(stored)
         return stored
 
-    def _hand_over(self, state, to):
-        write = state.give_up(self.clock.now_ms(), to, uuid.uuid4().hex)
+    def _hand_over(self, state, next_holder):
+        write = state.give_up(self.clock.now_ms(), next_holder, uuid.uuid4().hex)
         spec = attrs.asdict(write.term)
         version = write.expected_version
         for _ in range(HAND_OVER_TRIES):
@@ -402,7 +403,7 @@
             if stored is None:
                 continue
             if stored.spec["number"] >= write.term.number:
-                log_event("term-handed-over", role=state.role, to=to)
+                log_event("term-handed-over", role=state.role, to=next_holder)
                 return True
             # An earlier update of this daemon, whose outcome was unknown, has taken
             # effect meanwhile: retry against the new version.
