--- a/src/tarragonramp/roles/forwarding.py
+++ b/src/tarragonramp/roles/forwarding.py
@@ -1,7 +1,7 @@
 """Forwards callers' requests through a server's steward.
 
-Needed for servers that only their steward may send to: those that don't check grants,
-and any server in a cold start.
+Needed for servers that only their steward may send to: those that do not check
+grants, and any server in a cold start.
 """
 
 import attrs
@@ -40,8 +40,8 @@
     pools : HttpPools
         Must discard data that was not delivered within the length of a right.
     control_pools : HttpPools
-        Pools of the probes. Their connections are closed by a server's restart too,
-        which reveals it early.
+        Connection pools of the probes. A server that restarts closes these connections
+        too, which reveals the restart.
     clock : Clock
     """
 
@@ -58,11 +58,11 @@
 
         Parameters
         ----------
-        request : Order
+        request : ForwardedRequest
 
         Returns
         -------
-        answer : Success of Answer, or Failure of ExchangeError
+        response : Success of Response, or Failure of ExchangeError
             A refusal is a response with the outcome "not run".
         """
         deadline_at_ms = self.clock.now_ms() + request.deadline_ms
@@ -129,8 +129,8 @@
         if request.slice_index >= len(assignment.slices):
             return None
         item = assignment.slices[request.slice_index]
-        wanted = (OWNED, request.server, request.token)
-        return state.held if (item.state, item.server, item.token) == wanted else None
+        expected = (OWNED, request.server, request.token)
+        return state.held if (item.state, item.server, item.token) == expected else None
 
     def _send(self, managed, request, timeout_ms, admitted_ms):
         """Send an admitted request, unless its time-out has passed since admission.
@@ -156,28 +156,34 @@
                 may_send=lambda: self.clock.now_ms() < until_ms,
             )
             ended = is_successful(result) or isinstance(result.failure(), NotSentError)
-            return result.map(lambda answer: self._mark_direct(managed, answer))
+            return result.map(lambda response: self._mark_direct(managed, response))
         finally:
             if ended:
                 managed.gate.answered(request.slice_index)
             else:
                 managed.gate.cold_start.invalidate()
                 managed.gate.unanswered(request.slice_index, self.clock.now_ms())
-            self._wake_waiting()
+            self._wake_waiters()
 
-    def _mark_direct(self, managed, answer):
-        """Return a response, marked if the entry may send to the server directly."""
+    def _mark_direct(self, managed, response):
+        """Return a response, marked if the entry may send to the server directly.
+
+        Cold-start hints in the response are recorded first.
+        """
         now_ms = self.clock.now_ms()
         cold_start = managed.gate.cold_start
-        if answer.header(OUTCOME_HEADER) == NOT_RUN and answer.status == BUSY_STATUS:
+        if (
+            response.header(OUTCOME_HEADER) == NOT_RUN
+            and response.status == BUSY_STATUS
+        ):
             cold_start.shed(now_ms)
-        if answer.header(COLD_HEADER):
+        if response.header(COLD_HEADER):
             cold_start.invalidate()
         if not managed.checks or not cold_start.is_warm(now_ms):
-            return answer
-        return attrs.evolve(answer, headers=(*answer.headers, (DIRECT_HEADER, "1")))
+            return response
+        return attrs.evolve(response, headers=(*response.headers, (DIRECT_HEADER, "1")))
 
-    def _wake_waiting(self):
+    def _wake_waiters(self):
         changed, self._slot_freed = self._slot_freed, Event()
         changed.set()
 
@@ -191,7 +197,8 @@
     me : Member
     view : View
     peers : Peers
-    gatekeeper : ForwardHandler
+    forward_handler : ForwardHandler
+        Of this daemon, for servers that it is steward of itself.
     """
 
     me: object
--- a/src/tarragonramp/roles/planner.py
+++ b/src/tarragonramp/roles/planner.py
@@ -30,8 +30,8 @@
 """How long the planner waits for stewards' reports after the start of its term.
 
 Stewards report within tens of milliseconds, and a dead server is reported silent within
-the length of a grant. After this time the share of a server without a report goes to
-the others.
+the duration of a grant. After this time the slices of a server without a report are
+assigned to the others.
 """
 
 
@@ -98,7 +98,7 @@
         """Plan for all teams whose planner terms are held here. Never returns."""
         self.view.on_change(self._changed.set)
         while True:
-            busy = False
+            is_moving = False
             self._changed.clear()
             # Wait for the first VM list: a planner that knows the assignment but no
             # VMs, as after a start, would take every slice from its owner.
@@ -107,11 +107,11 @@
             )
             for (team, _), service in known_services:
                 if service.divided and self.keeper.may_act(planner_role(team)):
-                    busy |= self._plan(team, service)
+                    is_moving |= self._plan(team, service)
             for team in self.view.all_of(KIND_TEAM):
                 if self.view.leaving(team) and self.keeper.may_act(planner_role(team)):
                     self._finish_deletion(team)
-            wait_ms = self.timing.planning_ms if busy else RETRY_MS
+            wait_ms = self.timing.planning_ms if is_moving else RETRY_MS
             self._changed.wait(wait_ms / 1000.0)
 
     def _plan(self, team, service):
@@ -126,14 +126,14 @@
         servers = self._servers(team, service)
         if self._settled_inputs.get(name) == (version, servers):
             return False
-        settling = self._awaits_reports(team, service)
+        awaits_reports = self._awaits_reports(team, service)
         released = self._proved_releases(assignment, version)
-        slices = next_slices(assignment.slices, servers, released, settling)
+        slices = next_slices(assignment.slices, servers, released, awaits_reports)
         if slices != assignment.slices or version == 0:
             self._write(name, attrs.evolve(assignment, slices=slices), version)
             return any(item.state == RELEASING for item in slices)
         moving = any(item.state == RELEASING for item in slices)
-        if not moving and not settling:
+        if not moving and not awaits_reports:
             # Nothing to decide until the assignment or a server changes.
             self._settled_inputs[name] = (version, servers)
         return moving
--- a/src/tarragonramp/roles/steward.py
+++ b/src/tarragonramp/roles/steward.py
@@ -23,9 +23,10 @@
 SILENCE_FRACTION = 0.75
 """Fraction of a grant's length for which a server may be silent before it is reported.
 
-Below one, so that the report does not delay the move of the server's keys: its last
-grant runs for longer than this in any case. Large enough that a slow machine or link,
-with a few probes timing out, does not lose its keys.
+The planner moves the keys of a server that is reported silent. The fraction is large
+enough that a server keeps its keys while its machine or link is slow for a moment and
+probes time out. Waiting costs callers nothing, since the server's last grant runs for
+longer than this in any case; waiting for a whole grant's length would.
 """
 
 
@@ -42,14 +43,16 @@
     ledger : GrantLedger
     gate : Gate
     checks : bool
-        Whether the server refuses superseded stewards.
+        Whether the server refuses superseded stewards. Also true for a service that is
+        not divided, whose servers need no grants.
     condition : {"up", "silent", "unknown"}
     last_answer_ms : float
         When the server last answered, at first when this was created.
     last_report_key : tuple
-        The newest report that the planner accepted.
+        Planner's term, condition and boot id in the newest report that was accepted.
     report_in_flight : bool
     seen_assignment_version : int
+        Version of the assignment for which the last renewal was triggered.
     changed : Event
         Set to renew without waiting for the next interval.
     """
@@ -141,7 +144,7 @@
         -------
         released : list of int
             Slices for which the server cannot act as owner any more. Valid as long as
-            the assignment names this steward's term.
+            this steward's term is the one in the assignment.
         proof : str
             Kinds of proof, comma-separated.
         """
@@ -291,7 +294,10 @@
         managed.condition = condition
 
     def _ensure_registered(self, managed):
-        """Write this steward's term into the assignment before granting anything."""
+        """Write this steward's term into the assignment; return whether it is there.
+
+        Nothing may be granted before it is there.
+        """
         vm = managed.vm
         assignment = self.view.assignment(vm.team, vm.service)
         new = with_steward_term(
