--- a/src/tarragonramp/roles/entry.py
+++ b/src/tarragonramp/roles/entry.py
@@ -81,8 +81,9 @@
     backends : Backends
         Probes servers that appear unresponsive.
     forward : callable
-        ``forward(Order) -> Result``: sends a request through the server's steward,
-        for servers that only their steward may send to.
+        ``forward(ForwardedRequest) -> Result``: sends a request through the server's
+        steward, for servers that only their steward may send to. None if no server
+        needs that.
     total_pause_ms : callable
         Returns the total time for which this process has been paused.
     """
@@ -121,15 +122,17 @@
         outcome, assigned_id = UNKNOWN, ""
         try:
             assigned_id = request_id(environ[HEADERS_KEY]) or uuid.uuid4().hex
-            answer = self._serve(environ, assigned_id, times)
+            response = self._serve(environ, assigned_id, times)
             outcome = ANSWERED
         except RequestError as error:
             outcome = error.outcome
             return _refusal_response(start_response, error, assigned_id)
         finally:
             self.meter.finish(times, outcome, self.clock.now_ms())
-        headers = caller_response_headers(answer, assigned_id)
-        return backend_reply(start_response, environ["REQUEST_METHOD"], answer, headers)
+        headers = caller_response_headers(response, assigned_id)
+        return backend_reply(
+            start_response, environ["REQUEST_METHOD"], response, headers
+        )
 
     def _serve(self, environ, assigned_id, times):
         path = environ["PATH_INFO"]
@@ -185,10 +188,10 @@
                     retry_after_s = self._retry_after_s()
                     raise request.refusal(503, "owner not reached", retry_after_s)
                 continue
-            answer = result.unwrap()
-            if answer.header(OUTCOME_HEADER) != NOT_RUN:
-                return answer
-            if answer.status != STALE_OWNER_STATUS:
+            response = result.unwrap()
+            if response.header(OUTCOME_HEADER) != NOT_RUN:
+                return response
+            if response.status != STALE_OWNER_STATUS:
                 raise request.refusal(503, "server is busy", self._retry_after_s())
             if retry_delay_ms is not None:
                 self._wait_for_newer_route(team, service, route, retry_delay_ms)
@@ -240,14 +243,14 @@
             limiter = self._admit(route, service, request)
             result = self._exchange(route, request, limiter, outliers)
             if is_successful(result):
-                answer = result.unwrap()
-                if answer.header(OUTCOME_HEADER) != NOT_RUN:
-                    return answer
+                response = result.unwrap()
+                if response.header(OUTCOME_HEADER) != NOT_RUN:
+                    return response
                 # A steward that has just handed over its term refuses without
                 # contacting the server. The budget limits load on servers, so this
-                # refusal is not charged to it; charging it got callers refused for
-                # the length of a handover, about 50 ms.
-                if answer.status != STALE_OWNER_STATUS and not budget.spend():
+                # refusal is not charged to it. When it was, callers were refused for
+                # the duration of a handover, about 50 ms.
+                if response.status != STALE_OWNER_STATUS and not budget.spend():
                     break
                 continue
             self._check_retry(result.failure(), request, budget)
@@ -286,10 +289,10 @@
 
         Returns
         -------
-        limiter : Gate or None
-            Where the slot has to be released. None if the route changed meanwhile,
-            so that callers queued for a frozen owner follow their key to the next
-            one.
+        limiter : ConcurrencyLimiter or None
+            Where the slot has to be released. None if the route changed meanwhile:
+            requests that are queued for an unresponsive owner then follow their key to
+            its next owner.
         """
         server_reachability = self._reachability[route.server]
         if not route.gated_at and server_reachability.should_probe(self.clock.now_ms()):
@@ -317,7 +320,7 @@
         raise request.refusal(503, "server is busy", retry_after_s)
 
     def _probe(self, route, server_reachability):
-        """Probe an unresponsive server until it answers or its address changes."""
+        """Probe an unresponsive server until it answers or leaves this address."""
         while True:
             asked_ms = self.clock.now_ms()
             timeout_ms = self.timing.control_timeout_ms
@@ -390,7 +393,7 @@
             headers.append(("Tarragon-Token", str(route.token)))
         if route.gated_at or not self._may_send_directly(route):
             result = self._forward(route, request, headers, left_ms)
-            return result.map(lambda answer: self._note_cold_start(route, answer))
+            return result.map(lambda response: self._note_cold_start(route, response))
         headers.append(("Tarragon-Deadline-Ms", str(int(left_ms))))
         result = self.pools.at(route.address).exchange(
             request.method,
@@ -429,7 +432,8 @@
 
         def is_connected():
             limiter = self._limiters.get(server)
-            # A single request in flight may be the asking one, not connected yet.
+            # A single request in flight may be the one that this call is made for,
+            # which has no connection yet.
             if limiter is not None and limiter.in_flight > 1:
                 return True
             return self.pools.at(address).has_open_idle()
@@ -438,21 +442,21 @@
             server, address, is_connected, self.clock.now_ms()
         )
 
-    def _note_cold_start(self, route, answer):
+    def _note_cold_start(self, route, response):
         """Record the cold-start hints in a response; return the response."""
-        shed = answer.header(OUTCOME_HEADER) == NOT_RUN and answer.status == 503
-        if shed or answer.header(COLD_HEADER):
+        shed = response.header(OUTCOME_HEADER) == NOT_RUN and response.status == 503
+        if shed or response.header(COLD_HEADER):
             self._direct_permits.revoke(route.server)
-        elif answer.header(DIRECT_HEADER):
+        elif response.header(DIRECT_HEADER):
             self._direct_permits.allow(route.server, route.address, self.clock.now_ms())
-        return answer
+        return response
 
     def _exclude_busy_cold_servers(self, routes):
         """Exclude cold servers that already have a request from this entry.
 
         A server that has just come back can take very few requests, and callers would
-        queue for it while other servers are free. One request at a time still goes
-        there, so that its steward's verdict is updated.
+        queue for it while other servers are free. One request at a time is still sent
+        there, since the response of its steward shows when the server is warm.
         """
         if self.forward is None:
             return routes
@@ -507,10 +511,10 @@
 def _outcome_of(result):
     """Return the outcome of an exchange as the limiter accounts for it."""
     if is_successful(result):
-        answer = result.unwrap()
-        if answer.header(OUTCOME_HEADER) != NOT_RUN:
+        response = result.unwrap()
+        if response.header(OUTCOME_HEADER) != NOT_RUN:
             return Outcome.ANSWERED
-        stale = answer.status == STALE_OWNER_STATUS
+        stale = response.status == STALE_OWNER_STATUS
         return Outcome.CANCELLED if stale else Outcome.SHED
     abandoned = isinstance(result.failure(), AbandonedError)
     return Outcome.CANCELLED if abandoned else Outcome.LOST
--- a/src/tarragonramp/roles/operators.py
+++ b/src/tarragonramp/roles/operators.py
@@ -43,7 +43,7 @@
 MAX_BODY_BYTES = 1_048_576
 MAX_DOCUMENTS = 200
 MAX_AUDIT_ENTRIES = 1000
-AUDIT_ENTRIES = 50
+DEFAULT_AUDIT_ENTRIES = 50
 CHANGE_TIMEOUT_MS = 5000
 MAX_ACTOR_LENGTH = 64
 
@@ -238,7 +238,7 @@
         if status == 200 and result.unwrap() is not None:
             after_version = result.unwrap().version
             self.view.apply(result.unwrap())
-        outcome = _OUTCOMES.get(status, audit.NOT_DONE)
+        outcome = _OUTCOMES_BY_STATUS.get(status, audit.NOT_DONE)
         detail = "" if status == 200 else payload["error"]
         self.trail.finish(begun.unwrap(), outcome, detail, after_version)
         return status, payload
@@ -289,7 +289,7 @@
         return bool(found) or divided
 
     def _audit(self, query):
-        limit = _parse_number(query.get("limit", str(AUDIT_ENTRIES)), "limit")
+        limit = _parse_number(query.get("limit", str(DEFAULT_AUDIT_ENTRIES)), "limit")
         result = self.trail.entries(min(limit, MAX_AUDIT_ENTRIES))
         if not is_successful(result):
             return _reply(result)
@@ -309,7 +309,7 @@
         return f"outcome not recorded; object is at version {found.unwrap().version}"
 
 
-_OUTCOMES = {200: audit.DONE, 409: audit.CONFLICT, 504: audit.UNKNOWN}
+_OUTCOMES_BY_STATUS = {200: audit.DONE, 409: audit.CONFLICT, 504: audit.UNKNOWN}
 
 
 def _change(environ, kind, name, version):
--- a/src/tarragonramp/roles/overview.py
+++ b/src/tarragonramp/roles/overview.py
@@ -164,7 +164,7 @@
         }
 
     def explain(self, team, name, key):
-        """Return an HTTP status code, and the owner of a key with the reason."""
+        """Return an HTTP status code, and the owner of a key with the explanation."""
         service = self.view.services().get((team, name))
         if service is None or not service.divided:
             known = sorted(
--- a/src/tarragonramp/roles/router.py
+++ b/src/tarragonramp/roles/router.py
@@ -38,7 +38,7 @@
 No response could arrive in time, and the server would do useless work."""
 
 RETRY_BUDGET_SHARE = 0.6
-"""Share that is used of the retries that all daemons may make together.
+"""The daemons use only this fraction of the retries that they are allowed together.
 
 The rest is a reserve: the number of daemons may change while a whole service fails, and
 the daemons together must not exceed what the servers' owners allow."""
@@ -49,9 +49,10 @@
 This covers the time before the daemons know of each other."""
 
 MAX_IDLE_CONNECTIONS = 8
-"""Most idle connections kept to a server, and never more than the fixed share.
+"""Maximum number of idle connections kept to a server.
 
-A connection beyond that share is returned after use."""
+Never more than the connections guaranteed to this daemon are kept: one that was opened
+beyond these is closed after use, so that other daemons can open theirs."""
 
 CLOSING_STATUSES = frozenset((408, 413))
 MIN_SERVER_ERROR_STATUS = 500
@@ -101,7 +102,7 @@
         try:
             facts = self._read_facts(environ)
             request_id = facts.request_id
-            answer = self._serve(environ, facts, times)
+            response = self._serve(environ, facts, times)
             outcome = ANSWERED
         except RequestError as error:
             outcome = error.outcome
@@ -109,8 +110,10 @@
             return self._refuse(start_response, error, request_id)
         finally:
             self.meter.finish(times, outcome, self.clock.now_ms())
-        headers = end_to_end_response_headers(answer)
-        return backend_reply(start_response, environ["REQUEST_METHOD"], answer, headers)
+        headers = end_to_end_response_headers(response)
+        return backend_reply(
+            start_response, environ["REQUEST_METHOD"], response, headers
+        )
 
     def _read_facts(self, environ):
         try:
@@ -157,16 +160,16 @@
             result, took_ms = self._exchange(request, chosen)
             times.service_ms += took_ms
             if is_successful(result):
-                answer, facts = result.unwrap()
-                if self._is_final(request, answer, facts, budget):
+                response, facts = result.unwrap()
+                if self._is_final(request, response, facts, budget):
                     if len(request.tried) > 1:
-                        self._log_served(request, answer)
-                    return answer
+                        self._log_served(request, response)
+                    return response
                 continue
             self._handle_failure(request, chosen, result.failure(), budget)
 
     def _budget(self, service):
-        """Return this daemon's share of the further attempts at a service."""
+        """Return this daemon's retry budget for a service."""
         budget = self._budgets.get(service)
         if budget is None:
             reserve = RETRY_BUDGET_SHARE * self.bounds.retry_slack / self._n_daemons()
@@ -187,19 +190,19 @@
             now_ms = self.clock.now_ms()
         else:
             servers = self._candidates(request)
-        wanted = Requirements(
+        requirements = Requirements(
             request.route.name,
             request.until_ms - now_ms,
             request.arrived_ms + request.route.target_ms - now_ms,
             self.view.routes.is_urgent(request.route),
         )
-        choice = self.selector.select(servers, wanted, now_ms)
+        choice = self.selector.select(servers, requirements, now_ms)
         if isinstance(choice, Rejection):
             self._count_refused_work(request)
             raise request.retryable_refusal(
                 choice.reason, choice.retry_after_s, **choice.inputs
             )
-        self._take_cold_share(request, choice.server, now_ms)
+        self._acquire_cold_start_permit(request, choice.server, now_ms)
         return choice
 
     def _count_refused_work(self, request):
@@ -216,8 +219,8 @@
     def _candidates(self, request):
         """Return the servers of a shared service that may be sent a request now.
 
-        Servers in a cold start only if there are no others, since they bear little
-        load.
+        Servers in a cold start are returned only if there are no others, since they can
+        take little load.
         """
         directory = self.view.directory
         servers = directory.usable(request.service)
@@ -248,7 +251,8 @@
         others = self.selector.peer_in_flight(server.name, self.clock.now_ms())
         return may_connect(limit, self._n_daemons(), own, others)
 
-    def _take_cold_share(self, request, server, now_ms):
+    def _acquire_cold_start_permit(self, request, server, now_ms):
+        """Raise if a server in a cold start may not be sent another request now."""
         if not self.view.directory.is_cold(server.name):
             return
         cold_rate_per_s = self.view.service(request.service).cold_per_s
@@ -291,7 +295,9 @@
         if not is_successful(result):
             self._record_failure(request, chosen, result.failure(), now_ms)
             return result, took_ms
-        result = result.map(lambda answer: (answer, self.dialect.read_response(answer)))
+        result = result.map(
+            lambda response: (response, self.dialect.read_response(response))
+        )
         _, facts = result.unwrap()
         if facts.not_run:
             self.selector.record_shed(chosen, facts.load, now_ms)
@@ -312,24 +318,30 @@
             warmup_ms = self.view.service(server.service).warmup_ms
             self.view.directory.mark_cold(server.name, warmup_ms)
 
-    def _is_final(self, request, answer, facts, budget):
-        """Return whether a response goes to the caller, rather than being retried."""
+    def _is_final(self, request, response, facts, budget):
+        """Return whether a response goes to the caller; if not, the request is retried.
+
+        Raises
+        ------
+        RequestError
+            If the response is of no use and the request may not be sent again.
+        """
         if facts.not_run:
             self._handle_server_refusal(request, facts, budget)
             return False
-        if answer.status in SUCCESS_STATUSES and not facts.genuine:
+        if response.status in SUCCESS_STATUSES and not facts.genuine:
             self._log_failed_attempt(request, "answer without the server's mark")
             request.in_doubt = True
             self._check_retry(request, budget)
             return False
-        if answer.status < MIN_SERVER_ERROR_STATUS or not request.route.idempotent:
+        if response.status < MIN_SERVER_ERROR_STATUS or not request.route.idempotent:
             return True
         request.in_doubt = True
         if len(request.tried) >= request.route.attempts or not self._has_time(request):
             return True
         if not budget.spend():
             return True
-        self._log_failed_attempt(request, f"server answered {answer.status}")
+        self._log_failed_attempt(request, f"server answered {response.status}")
         return False
 
     def _handle_server_refusal(self, request, facts, budget):
@@ -399,7 +411,7 @@
             missing_ms=round(missing_ms),
         )
 
-    def _log_served(self, request, answer):
+    def _log_served(self, request, response):
         """Log how a request with failed attempts ended; others are only counted."""
         log_event(
             "request-served",
@@ -407,7 +419,7 @@
             service=request.service,
             server=request.tried[-1],
             tries=len(request.tried),
-            status=answer.status,
+            status=response.status,
             took_ms=round(self.clock.now_ms() - request.arrived_ms),
         )
 
