--- a/src/tarragonramp/roles/leadership.py
+++ b/src/tarragonramp/roles/leadership.py
@@ -445,7 +445,7 @@
             self._read_back_record()
 
     def _read_back_record(self):
-        """Read the record after a write that may have taken effect without a response."""
+        """Read the record after a write that had no response but may be in effect."""
         result = self.store.get(LEADER_KIND, LEADER_NAME)
         if is_successful(result):
             self._handle_other_record(result.unwrap())
