--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -33,7 +33,7 @@
 
 def _proves_by_half_the_hold(self, service, first, token):
     held = self._state_of(service, first, token)
-    return self.clock.now_ms() > held.sent_ms + self.timing.hold_ms / 2
+    return self.clock.now_ms() > held.hold_from_ms + self.timing.hold_ms / 2
 
 
 def _release_unfenced(self, service, item):
@@ -72,7 +72,7 @@
 
 def _note_from_sending(self, held, sent_ms, result):
     _record_outcome(self, held, sent_ms, result)
-    held.sent_ms = min(held.sent_ms, sent_ms)
+    held.hold_from_ms = min(held.hold_from_ms, sent_ms)
     held.in_doubt_until_ms = -math.inf
 
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -14,7 +14,7 @@
 REQUEST = ForwardedRequest("t", "desk", "s1", -1, 0, "POST", "/x", (), b"", 5000.0)
 
 
-class GateKeeperTest(unittest.TestCase):
+class ForwardHandlerTest(unittest.TestCase):
     """One server, a right of 800 ms, and a process that may be paused."""
 
     def setUp(self):
--- a/tests/test_granter.py
+++ b/tests/test_granter.py
@@ -326,7 +326,7 @@
         self.assertTrue(renewed, (kept, self.renewed_bounds))
 
     def test_fencing_tokens_increase_with_each_attempt(self):
-        """Servers carry out orders late, and a fencing grant has no response.
+        """Servers carry out grants late, and a fencing grant has no response.
 
         If the same grant were sent again and answered, the keys would move; the first
         one could be carried out afterwards and give the keys back to the old owner.
