--- a/src/tarragonramp/roles/forwarding.py
+++ b/src/tarragonramp/roles/forwarding.py
@@ -133,7 +133,7 @@
         return state.held if (item.state, item.server, item.token) == expected else None
 
     def _send(self, managed, request, timeout_ms, admitted_ms):
-        """Send an admitted request, unless its time-out has passed since admission.
+        """Send an admitted request, unless its timeout has passed since admission.
 
         Guards against a steward process that is paused between admission and sending,
         and resumes when its successor already sends to the server.
--- a/src/tarragonramp/roles/terms.py
+++ b/src/tarragonramp/roles/terms.py
@@ -150,7 +150,7 @@
 
         Each goes to its successor, or is left without a holder. While the platform is
         down no other daemon can take a term, and the servers' grants would expire: so
-        this daemon keeps acting until the platform answers or the time-out passes.
+        this daemon keeps acting until the platform answers or the timeout passes.
 
         Parameters
         ----------
