--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -36,7 +36,7 @@
 
 def _expired_after_half_the_hold(self, service, first, token):
     held = self._state_of(service, first, token)
-    return self.clock.now_ms() > held.sent_ms + self.timing.hold_ms / 2
+    return self.clock.now_ms() > held.hold_from_ms + self.timing.hold_ms / 2
 
 
 def _release_without_fence(self, service, item):
@@ -75,7 +75,7 @@
 
 def _record_outcome_as_sent(self, held, sent_ms, result):
     _record_outcome(self, held, sent_ms, result)
-    held.sent_ms = min(held.sent_ms, sent_ms)
+    held.hold_from_ms = min(held.hold_from_ms, sent_ms)
     held.in_doubt_until_ms = -math.inf
 
 
