--- a/src/tarragonramp/adapters/http.py
+++ b/src/tarragonramp/adapters/http.py
@@ -98,7 +98,8 @@
         Counts the exchanges of a pool that carries control traffic.
     user_timeout_ms : float, default=0.0
         How long the kernel may retransmit unacknowledged data, also after the
-        connection was closed (TCP_USER_TIMEOUT); 0 for the kernel's default.
+        connection was closed (TCP_USER_TIMEOUT); 0 for the kernel's default. If set,
+        closing a connection also discards its unsent data.
     echoed_headers : tuple of str
         Lower-case names of headers that, if present in a response, must have the value
         that was sent.
@@ -149,14 +150,15 @@
         ----------
         method, target : str
         headers : list of (str, str)
-            Without framing headers, which are set here. If the response echoes
-            ``X-Request-Id`` or ``Tarragon-Exchange``, the values have to match.
+            Without framing headers, which are set here. If the response repeats one
+            of the pool's ``echoed_headers``, it must have the value that was sent.
         body : bytes
         timeout_ms : float
             For the whole exchange.
         is_wanted : callable, optional
-            Polled while waiting for the response. Once it returns False the connection
-            is closed, which tells the server to stop.
+            Returns whether the response is still needed; polled while waiting for it.
+            Once it returns False the connection is closed, which tells the server to
+            stop.
         reuse_only : bool, default=False
             Whether to fail rather than open a new connection.
         tag : hashable, optional
@@ -164,16 +166,16 @@
             that has carried a request with this tag is used: any other one may lead to
             a later process at the same address.
         may_send : callable, optional
-            Checked immediately before the first byte is sent. A sender whose right to
-            send expires must not send after a pause of this process what it decided
-            before the pause.
+            Returns whether the request may still be sent; called immediately before
+            the first byte. The sender's right may expire while this process is paused
+            between the decision to send and the sending.
 
         Returns
         -------
         response : Success of Response, or Failure of ExchangeError
-            NotSentError if no byte was sent (NoConnectionError if no connection was
-            open and none could be opened because of ``reuse_only``); AbandonedError if
-            ``is_wanted`` returned False; otherwise UnansweredError.
+            NotSentError if no byte was sent, and its subclass NoConnectionError if
+            ``reuse_only`` found no open connection; AbandonedError if ``is_wanted``
+            returned False; otherwise UnansweredError.
         """
         # Computed first, so that a pause of this process at any later point counts
         # against the timeout.
@@ -282,7 +284,9 @@
                     break
                 # Close-delimited responses are refused as well: they cannot be
                 # distinguished from truncated ones.
-                raise HTTPParseError("connection closed before the answer was whole")
+                raise HTTPParseError(
+                    "connection closed before the response was complete"
+                )
             parser.feed(data)
             n_received += len(data)
             if not parser.headers_complete and n_received > MAX_RESPONSE_HEAD_BYTES:
@@ -399,7 +403,15 @@
 
 
 def _receive(connection, deadline_s, is_wanted):
-    """Receive bytes, polling ``is_wanted`` until they arrive."""
+    """Receive bytes, polling ``is_wanted`` until they arrive.
+
+    Raises
+    ------
+    AbandonedError
+        If ``is_wanted`` returns False.
+    TimeoutError
+        At the deadline.
+    """
     while True:
         remaining_s = _remaining_s(deadline_s)
         if is_wanted is None:
--- a/src/tarragonramp/adapters/pipelining.py
+++ b/src/tarragonramp/adapters/pipelining.py
@@ -31,7 +31,8 @@
     in_progress : int
         Number of requests whose responses have not been sent.
     closing : bool
-        Whether a response has announced that the connection closes after it.
+        Whether no further request is served, because the connection closes after the
+        last response.
     """
 
     last_sent: Event
@@ -72,7 +73,7 @@
         super().handle()
 
     def read_requestline(self):
-        """Wait for the next request; stop after a response has announced the close."""
+        """Wait for the next request; return "" once the connection is to be closed."""
         request_line = super().read_requestline()
         if self.server.shutting_down and self.pipeline.in_progress:
             # If a caller always sends the next request before the response arrives,
@@ -131,8 +132,8 @@
     def finalize_headers(self):
         """Send ``Connection: close`` only with the last response.
 
-        The caller takes later requests for unread, so none of them may have been sent
-        to a server.
+        After a response with this header, a caller assumes that its later requests were
+        not read and sends them again, so none of them may have been sent to a server.
         """
         if self.sent is None or self.pipeline.last_sent is self.sent:
             super().finalize_headers()
--- a/src/tarragonramp/adapters/serving.py
+++ b/src/tarragonramp/adapters/serving.py
@@ -14,6 +14,8 @@
 __all__ = ["DaemonServer", "DrainResult"]
 
 DRAIN_POLL_MS = 20
+
+# How long a draining server waits for TCP handshakes in progress to complete.
 HANDSHAKE_WAIT_MS = 20
 
 # Classic BPF program for a listening socket: drops segments with SYN set.
@@ -84,7 +86,7 @@
             self.response_headers.append((b"Connection", b"close"))
 
     def log_request(self):
-        """Count the exchange instead of logging it."""
+        """Mark the connection idle and count the exchange; no line is logged."""
         self._mark_idle()
         traffic = self.server.traffic
         if traffic is None or not self.headers:
@@ -129,8 +131,9 @@
         WSGI application.
     clock : Clock
     traffic : TrafficMeter, optional
-        Counts the exchanges of a server for control traffic. Without it, the server's
-        CPU time is accounted to callers' requests.
+        Counts the exchanges of a server for control traffic. The CPU time of such a
+        server is accounted to control work, that of a server without a meter to
+        callers' requests.
     **options : object
         Passed to :class:`WebServer`.
     """
@@ -172,7 +175,7 @@
         """
         self.begin_shutdown()
         if self.started:
-            self._refuse_handshakes()
+            self._drop_new_handshakes()
             gevent.sleep(HANDSHAKE_WAIT_MS / 1000.0)
             self._accept_queued()
         self.close()
@@ -185,7 +188,7 @@
             gevent.sleep(DRAIN_POLL_MS / 1000.0)
         return DrainResult(sum(handler.busy for handler in self.connections))
 
-    def _refuse_handshakes(self):
+    def _drop_new_handshakes(self):
         """Drop new connection attempts (SYN segments) at this listener.
 
         The kernel resets connections established between the last accept and the close,
--- a/src/tarragonramp/adapters/web.py
+++ b/src/tarragonramp/adapters/web.py
@@ -70,6 +70,7 @@
 DISCARD_BYTES = 4 << 20
 DISCARD_S = 1.0
 
+# Headers that a request may contain only once.
 _SINGLE_HEADERS = frozenset(
     (
         "authorization",
@@ -267,7 +268,7 @@
                 raise RequestError(400, NOT_RUN, "malformed header")
             name, value = match.groups()
             if "_" in name:
-                # Its WSGI key would be the same as that of the name with dashes.
+                # Ignored: it would get the same WSGI key as the name with dashes.
                 continue
             headers.append((name.lower(), value.strip(" \t")))
 
@@ -297,7 +298,7 @@
 
 
 class WebServer(WSGIServer):
-    """A WSGI server that sets TCP_NODELAY on each accepted connection.
+    """A WSGI server with a strict request parser and TCP_NODELAY on each connection.
 
     If headers and body of a response are sent as two segments, Nagle's algorithm holds
     the second one until the peer's delayed ACK arrives, after about 40 ms.
@@ -331,7 +332,7 @@
         super().__init__(listener, application, log=None, error_log=None)
 
     def init_socket(self):
-        """Start listening, when the server starts.
+        """Start listening; called when the server starts, not when it is created.
 
         The kernel distributes connections among all listeners that share a port. Those
         assigned to a listener before its server runs would wait until it accepts them.
@@ -378,6 +379,12 @@
     environ : dict
     limit_bytes : int
     caller_timeout_ms : float
+        Longest time to wait for the body.
+
+    Returns
+    -------
+    body : bytes
+        Empty if the request has no body.
 
     Raises
     ------
--- a/tests/test_framing.py
+++ b/tests/test_framing.py
@@ -53,9 +53,9 @@
         """Check that each case gets the status and its connection is closed."""
         for name, data in cases.items():
             with self.subTest(name):
-                answer, closed = send_raw(self.address, data)
-                self.assertEqual(answer[9:12].decode(), str(status))
-                self.assertEqual(answer.count(b"HTTP/1.1 "), 1)
+                response, closed = send_raw(self.address, data)
+                self.assertEqual(response[9:12].decode(), str(status))
+                self.assertEqual(response.count(b"HTTP/1.1 "), 1)
                 self.assertTrue(closed)
 
     def test_malformed_heads(self):
@@ -70,7 +70,7 @@
                 "length list": post + b"Content-Length: 3, 3\r\n\r\nabc",
                 "signed length": post + b"Content-Length: +3\r\n\r\nabc",
                 "negative length": post + b"Content-Length: -3\r\n\r\nabc",
-                "length of words": post + b"Content-Length: three\r\n\r\nabc",
+                "length in words": post + b"Content-Length: three\r\n\r\nabc",
                 "other digits": post + b"Content-Length: \xb2\r\n\r\nabc",
                 "empty length": post + b"Content-Length:\r\n\r\n",
                 "doubled coding": post + te * 2 + b"\r\n0\r\n\r\n",
@@ -107,7 +107,7 @@
                 "no hex": CHUNKED + b"zz\r\nhi\r\n0\r\n\r\n",
                 "signed": CHUNKED + b"+2\r\nhi\r\n0\r\n\r\n",
                 "too large": CHUNKED + b"f" * 17 + b"\r\n",
-                "longer than said": CHUNKED + b"1\r\nhi\r\n0\r\n\r\n",
+                "longer than declared": CHUNKED + b"1\r\nhi\r\n0\r\n\r\n",
                 "LF after size": CHUNKED + b"2\nhi\r\n0\r\n\r\n",
                 "bad trailer": CHUNKED + b"0\r\nX Y: a\r\n\r\n",
             },
@@ -133,20 +133,20 @@
     def test_an_upgrade_is_not_read_past_the_request(self):
         upgrade = b"Connection: Upgrade\r\nUpgrade: websocket\r\n\r\n"
         data = b"GET / HTTP/1.1\r\n" + HOST + upgrade
-        answer, _ = send_raw(self.address, data * 2, 0.2)
-        self.assertEqual(answer.count(b"HTTP/1.1 200 OK"), 2)
+        response, _ = send_raw(self.address, data * 2, 0.2)
+        self.assertEqual(response.count(b"HTTP/1.1 200 OK"), 2)
 
     def test_valid_requests_share_a_connection(self):
         sent = b"POST / HTTP/1.1\r\n" + HOST + b"Content-Length: 2\r\n\r\nhi"
         chunked = CHUNKED + b"1;x=y\r\nh\r\n1\r\ni\r\n0\r\nA: b\r\n\r\n"
-        answer, _ = send_raw(self.address, sent + chunked, 0.2)
-        self.assertEqual(answer.count(b"HTTP/1.1 200 OK"), 2)
-        self.assertEqual(answer.count(b"b'hi')"), 2)
+        response, _ = send_raw(self.address, sent + chunked, 0.2)
+        self.assertEqual(response.count(b"HTTP/1.1 200 OK"), 2)
+        self.assertEqual(response.count(b"b'hi')"), 2)
 
     def test_names_with_underscores_are_dropped(self):
         data = b"GET / HTTP/1.1\r\n" + HOST + b"Tarragon_Token: 9\r\n\r\n"
-        answer, _ = send_raw(self.address, data, 0.2)
-        self.assertNotIn(b"oken", answer)
+        response, _ = send_raw(self.address, data, 0.2)
+        self.assertNotIn(b"oken", response)
 
 
 class ServerSideTest(unittest.TestCase):
--- a/tests/wire.py
+++ b/tests/wire.py
@@ -12,9 +12,10 @@
 
 
 def send_raw(address, data, idle_timeout_s=0.5):
-    """Send bytes; return what was received and whether the server closed.
+    """Send bytes; return the bytes received and whether the server closed.
 
-    Reading ends when the server closes, or when nothing arrives within a time-out.
+    Reading ends when the server closes the connection, or when nothing arrives within
+    the timeout.
     """
     with socket.create_connection(split_address(address), timeout=2.0) as connection:
         connection.sendall(data)
@@ -34,7 +35,7 @@
 
 @attrs.define(eq=False)
 class ScriptedServer:
-    """Answers each request with the next bytes of a script.
+    """Responds to each request with the next bytes of a script.
 
     Parameters
     ----------
