--- a/src/tarragonramp/adapters/logs.py
+++ b/src/tarragonramp/adapters/logs.py
@@ -32,10 +32,11 @@
 class LogLimiter:
     """Token-bucket rate limiter for log lines, per event and overall.
 
-    A line costs about 30 us and may block on a slow reader, so a fault that affects
-    every request could use up the time of requests that can still be served. The burst
-    shows how a fault begins and a few lines per second show that it persists; the next
-    line written gives the number of suppressed ones.
+    A line costs about 30 us and may block on a slow reader. A fault that affects every
+    request or every round of a role would log thousands of lines per second and take
+    the time of requests that can still be served. The burst shows how a fault begins,
+    and a few lines per second show that it persists; the next line written for an event
+    gives the number of suppressed ones.
 
     Parameters
     ----------
--- a/src/tarragonramp/adapters/metrics.py
+++ b/src/tarragonramp/adapters/metrics.py
@@ -27,7 +27,7 @@
 
 
 class _Reader(PrometheusMetricReader):
-    """Adds histograms that are maintained outside of the library's instruments.
+    """Metric reader that also exports histograms kept outside the library.
 
     Recording a value in the library's own histogram costs about 13 us. Each request
     records three values, which would be a tenth of its total cost.
--- a/src/tarragonramp/adapters/usage.py
+++ b/src/tarragonramp/adapters/usage.py
@@ -28,12 +28,12 @@
 
 @attrs.define(eq=False, repr=False)
 class CpuMeter:
-    """Splits this process's CPU time between callers' requests and control work.
+    """Splits the CPU time of this process into callers' requests and control work.
 
-    The thread's CPU clock is read only at switches between greenlets of different
-    kinds; the hub counts as the kind that ran last. A switch between two requests
-    therefore reads no clock. Other threads belong to gRPC, which carries control
-    traffic only.
+    A greenlet works either on requests (see :func:`mark_request_work`) or on control;
+    gevent's hub counts as the kind that ran last. The thread's CPU clock is read only
+    when the kind changes, so a switch between two requests costs one comparison. Other
+    threads belong to gRPC, which carries control traffic only.
 
     Parameters
     ----------
@@ -91,13 +91,14 @@
     Parameters
     ----------
     on_block : callable
-        ``on_block(blocked_ms, cpu_ms)``: the minimum time for which the loop was
-        blocked, and the CPU time of this thread during it. Little CPU time means that
-        the process was paused or waited in a call, much that it was computing.
+        ``on_block(blocked_ms, cpu_ms)``: how long the loop was blocked (a lower bound;
+        the actual time may be up to ``LOOP_CHECK_MS`` longer), and the CPU time of this
+        thread since the last check. Little CPU time means that the process was paused
+        or waited in a call, much that it was computing.
     count : int
         Number of times the loop was blocked.
     longest_ms : float
-        Longest time it was blocked.
+        Longest time it was blocked, as in ``on_block``.
     """
 
     on_block: object
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -69,7 +69,7 @@
         self.assertTrue(all(parse(line) for line in lines))
 
 
-class FormTest(unittest.TestCase):
+class LineFormatTest(unittest.TestCase):
     """The log of this process, written to a buffer."""
 
     @classmethod
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -149,17 +149,17 @@
     def page(self):
         """Return the daemon's metrics page."""
         pool = HttpPool(self.site.settings["d1"]["control_address"])
-        answer = pool.exchange("GET", "/metrics", (), b"", 5000).unwrap()
-        self.assertEqual(answer.status, 200)
-        self.assertTrue(answer.header("Content-Type").startswith("text/plain"))
-        return answer.body.decode()
+        response = pool.exchange("GET", "/metrics", (), b"", 5000).unwrap()
+        self.assertEqual(response.status, 200)
+        self.assertTrue(response.header("Content-Type").startswith("text/plain"))
+        return response.body.decode()
 
     def test_requests_are_counted_by_outcome(self):
         pool = HttpPool(self.site.caller_address("d1"))
         for i in range(20):
             header = [("X-Grant-Record", f"k{i}")]
-            answer = pool.exchange("POST", "/records", header, b"x", 5000).unwrap()
-            self.assertEqual(answer.status, 200)
+            response = pool.exchange("POST", "/records", header, b"x", 5000).unwrap()
+            self.assertEqual(response.status, 200)
         pool.exchange("GET", "/claims", (), b"", 5000).unwrap()
         page = self.page()
         name = "tarragonramp_requests_total"
@@ -177,8 +177,8 @@
         page = self.page()
         name = "tarragonramp_control_traffic_bytes_total"
         for kind in ("grant", "watch", "platform-write", "operator"):
-            for way in ("in", "out"):
-                labels = (f'kind="{kind}"', f'direction="{way}"')
+            for direction in ("in", "out"):
+                labels = (f'kind="{kind}"', f'direction="{direction}"')
                 self.assertGreater(total(page, name, *labels), 0, labels)
         cpu_ms = total(page, "tarragonramp_control_cpu_milliseconds_total")
         self.assertGreater(cpu_ms, 0)
