--- a/src/tarragonramp/adapters/backends.py
+++ b/src/tarragonramp/adapters/backends.py
@@ -19,6 +19,8 @@
 class HttpBackends:
     """Sends grants and probes to backend servers.
 
+    Implements :class:`tarragonramp.ports.Backends`.
+
     Parameters
     ----------
     pools : HttpPools
--- a/src/tarragonramp/adapters/fleet_peers.py
+++ b/src/tarragonramp/adapters/fleet_peers.py
@@ -16,7 +16,7 @@
 
 __all__ = ["FleetPeers", "PeerApplication"]
 
-PING, STEP_DOWN, NEWS, RELAY, METRICS = (
+PING, STEP_DOWN_PATH, NEWS_PATH, RELAY, METRICS_PATH = (
     "/peer/ping",
     "/peer/step-down",
     "/peer/news",
@@ -61,12 +61,15 @@
         return self._exchange("POST", address, PING, message, timeout_ms)
 
     def step_down(self, address, term, successor) -> Result:
-        """Tell a former leader that the daemon at ``successor`` has a later term."""
+        """Tell a former leader that the daemon at ``successor`` has a later term.
+
+        Returns as :meth:`ping` does.
+        """
         message = {"term": term, "successor": successor}
-        return self._exchange("POST", address, STEP_DOWN, message)
+        return self._exchange("POST", address, STEP_DOWN_PATH, message)
 
     def relay(self, address, message, timeout_ms) -> Result:
-        """Have a daemon renew grants; Success of its reply, or an ExchangeError."""
+        """Have a daemon renew grants; returns as :meth:`ping` does."""
         return self._exchange("POST", address, RELAY, message, timeout_ms)
 
     def news(self, kind, since_version, address=""):
@@ -83,13 +86,14 @@
         Returns
         -------
         news : dict
-            As ``Follower.updates_since`` returns it; empty if there are no updates.
+            As ``Follower.updates_since`` returns it; empty if there are no updates or
+            no peer answered.
         """
         address = address or self._pick_peer()
         if not address:
             return {}
         query = urllib.parse.urlencode({"kind": kind, "since": since_version})
-        result = self._exchange("GET", address, f"{NEWS}?{query}", None)
+        result = self._exchange("GET", address, f"{NEWS_PATH}?{query}", None)
         return result.unwrap() if is_successful(result) else {}
 
     def _pick_peer(self):
@@ -157,7 +161,7 @@
         try:
             if path == PING:
                 response = self.leadership.handle_ping(_read_message(environ))
-            elif path == STEP_DOWN:
+            elif path == STEP_DOWN_PATH:
                 request = _read_message(environ)
                 response = self.leadership.handle_step_down(
                     request["term"], str(request.get("successor", ""))
@@ -165,9 +169,9 @@
             elif path == RELAY:
                 is_wanted = lambda: not caller_disconnected(environ)
                 response = self.relay.send(_read_message(environ), is_wanted)
-            elif path == NEWS:
+            elif path == NEWS_PATH:
                 response = self._news(environ)
-            elif path == METRICS:
+            elif path == METRICS_PATH:
                 return self._metrics(start_response)
             else:
                 raise RequestError(404, NOT_RUN, "no such page")
@@ -185,7 +189,7 @@
 
         The scraper is not a peer and gets no access to the peer messages.
         """
-        if environ["PATH_INFO"] != METRICS:
+        if environ["PATH_INFO"] != METRICS_PATH:
             error = RequestError(404, NOT_RUN, "no such page")
             return error_reply(start_response, error)
         return self._metrics(start_response)
--- a/src/tarragonramp/adapters/peers.py
+++ b/src/tarragonramp/adapters/peers.py
@@ -26,6 +26,7 @@
 PING_TARGET = "/peer/ping"
 NEWS_TARGET = "/peer/news"
 MAX_WORKERS = 64
+# Contained in gRPC's error details if no connection could be opened.
 CONNECT_FAILED_TEXT = "failed to connect"
 UNLIMITED = -1
 GRPC_OVERHEAD_BYTES = 60
@@ -41,8 +42,7 @@
         Identity of the process that answered.
     taken : dict of str to int
         By role, the highest term that the peer has taken, or begun to take, from the
-        asking daemon. The answer does not prolong the right of this term or earlier
-        ones.
+        asking daemon. The answer confirms only the asking daemon's terms above it.
     newest : int
         Highest version of the platform's objects that the peer has seen.
     leaving : bool
@@ -59,6 +59,8 @@
 class GrpcPeers:
     """Client side of the messages between daemons.
 
+    Implements :class:`tarragonramp.ports.Peers`.
+
     Parameters
     ----------
     pools : HttpPools
@@ -108,7 +110,7 @@
         Returns
         -------
         accepted : Success of bool, or Failure of UnansweredError
-            False if that daemon is not the planner of the team.
+            False if that daemon is not the planner of every reported team.
         """
         servers = [peer_pb2.ServerReport(**item) for item in reports]
         request = peer_pb2.ReportRequest(sender=sender, servers=servers)
@@ -138,7 +140,7 @@
         Parameters
         ----------
         address : str
-        order : Order
+        forwarded : ForwardedRequest
 
         Returns
         -------
@@ -221,7 +223,8 @@
     secrets : Secrets
         Secrets of the peer port.
     on_forward : callable
-        ``on_forward(Order) -> Result``, with the results of :meth:`GrpcPeers.forward`.
+        ``on_forward(ForwardedRequest) -> Result``, with the results of
+        :meth:`GrpcPeers.forward`.
     """
 
     def __init__(
--- a/src/tarragonramp/adapters/platform.py
+++ b/src/tarragonramp/adapters/platform.py
@@ -19,6 +19,7 @@
 
 __all__ = ["HttpPlatform", "platform_error"]
 
+# Time for the response to a watch to arrive after the platform has stopped waiting.
 _WATCH_MARGIN_MS = 500
 
 
@@ -26,6 +27,8 @@
 class HttpPlatform:
     """Client of the platform's object API.
 
+    Implements :class:`tarragonramp.ports.Platform`.
+
     Parameters
     ----------
     pool : HttpPool
@@ -93,13 +96,13 @@
 
     def _call(self, method, target, spec=None, expected_version=0, timeout_ms=None):
         body = b"" if spec is None else json.dumps(spec).encode()
-        wait_ms = self.timeout_ms if timeout_ms is None else timeout_ms
-        result = self._exchange(method, target, body, wait_ms)
+        exchange_ms = self.timeout_ms if timeout_ms is None else timeout_ms
+        result = self._exchange(method, target, body, exchange_ms)
         return result.bind(lambda response: _parse_response(response, expected_version))
 
-    def _exchange(self, method, target, body, wait_ms):
+    def _exchange(self, method, target, body, timeout_ms):
         headers = [("Content-Type", "application/json")]
-        result = self.pool.exchange(method, target, headers, body, wait_ms)
+        result = self.pool.exchange(method, target, headers, body, timeout_ms)
         return result.alt(platform_error)
 
 
--- a/src/tarragonramp/ports.py
+++ b/src/tarragonramp/ports.py
@@ -58,7 +58,14 @@
         """Return Success of NewsAnswer, or Failure of ExchangeError."""
 
     def report(self, address, sender, reports) -> Result:
-        """Report the condition of backend servers to a planner; Success of bool."""
+        """Report the condition of backend servers to a planner.
+
+        Returns Success of bool, which is False if that daemon is not the planner of
+        every reported team; or Failure of ExchangeError.
+        """
 
     def prove_release(self, address, question) -> Result:
-        """Ask a steward which slices are proved to be released."""
+        """Ask a steward which slices are proved to be released.
+
+        Returns Success of a list of int, or Failure of ExchangeError.
+        """
