--- a/src/tarragonramp/clock.py
+++ b/src/tarragonramp/clock.py
@@ -26,8 +26,8 @@
 class SuspendAwareClock(Clock):
     """A clock that keeps running while the VM is suspended.
 
-    The monotonic clock stops during suspension, so a daemon would take a right that has
-    expired meanwhile for a valid one.
+    The monotonic clock stops during suspension. After it, a daemon would treat a right
+    that has expired meanwhile as still valid.
     """
 
     def now_ms(self):
--- a/src/tarragonramp/daemon.py
+++ b/src/tarragonramp/daemon.py
@@ -61,7 +61,10 @@
 
 EXIT_ADDRESS = 1
 EXIT_SETTINGS = 2
+
+# Interval of the log line of a daemon that still waits for the platform.
 WAITING_LOG_MS = 5000
+
 CONTROL_DRAIN_IDLE_MS = 200
 
 
--- a/src/tarragonramp/dialect.py
+++ b/src/tarragonramp/dialect.py
@@ -54,7 +54,11 @@
 
 
 class Dialect(Protocol):
-    """Parses and builds the headers that callers and servers use."""
+    """Parses and builds the headers that callers and servers use.
+
+    ``echoed_headers`` are the lower-case names of request headers that, if present in a
+    response, have the value that was sent.
+    """
 
     echoed_headers: tuple
 
--- a/src/tarragonramp/fleet.py
+++ b/src/tarragonramp/fleet.py
@@ -75,8 +75,8 @@
         Retries that all daemons together may send in ten seconds: ``retry_ratio`` times
         the number of requests, plus ``retry_slack``.
     cold_burst_factor, cold_slack : float
-        Requests that a cold server accepts in a second: ``cold_burst_factor`` times its
-        rate, plus ``cold_slack``.
+        Requests that a server in a cold start accepts in a second:
+        ``cold_burst_factor`` times its rate, plus ``cold_slack``.
     """
 
     grace_ms: float = 6000.0
@@ -123,11 +123,16 @@
 
     Parameters
     ----------
-    store : Platform
-    grants : Grants
+    store : object
+        The object store, with the methods ``get``, ``snapshot``, ``put`` and ``watch``,
+        and ``calls``: the number of calls by purpose.
+    grants : object
+        Sends grants to servers, with the methods ``grant``, ``release`` and
+        ``has_closed_connection``.
     dialect : Dialect
     read_server, read_manifest : callable
-        Parse stored objects into a Result of BackendServer and of Manifest.
+        Parse objects that other programs have stored, which may be malformed, into a
+        Result of BackendServer and of Manifest.
     read_settings : callable
         Reads the settings file again and returns a Result of FleetSettings.
     ready_path : str
@@ -290,7 +295,11 @@
         self.stopped.set()
 
     def reload(self):
-        """Read the settings again; invalid ones leave the current ones in force."""
+        """Read the settings file again and apply its bounds.
+
+        An invalid file changes nothing. All other settings, and the lease timing that
+        was derived from the bounds, stay as they were at the start.
+        """
         loaded = self.ports.read_settings()
         if not is_successful(loaded):
             reason = "; ".join(map(str, loaded.failure().faults))
@@ -302,7 +311,10 @@
         log_event("settings-reloaded")
 
     def _open(self):
-        """Start accepting callers once the routing state has been read."""
+        """Start accepting callers once the routing state has been read.
+
+        From then on, apply each change of the manifest's limits.
+        """
         while not self._has_routing_state():
             self.view.wait(500.0)
         self._apply_limits()
@@ -317,7 +329,9 @@
         manifest = self.view.manifest
         if manifest is None or not self.follower.is_synced:
             return False
-        divided = [name for name, s in manifest.services.items() if s.divided]
+        divided = [
+            name for name, service in manifest.services.items() if service.divided
+        ]
         return all(name in self.view.tables for name in divided)
 
     def _apply_limits(self):
@@ -345,9 +359,10 @@
     def _drain(self):
         """Shut down in an order that fails no request.
 
-        The daemon first reports not ready while still serving, so that the load
-        balancer sends no new callers; each response then closes its connection; finally
-        the requests in progress are completed.
+        The daemon first reports not ready while still accepting connections, until the
+        load balancer sends no new callers; meanwhile each response closes its
+        connection. Then it accepts no more connections and completes the requests in
+        progress.
         """
         began_ms = self.clock.now_ms()
         was_ready, self.is_ready = self.is_ready, False
--- a/tests/test_platform_folder.py
+++ b/tests/test_platform_folder.py
@@ -191,11 +191,11 @@
                 "info": {**VALID_ENTRY["info"]},
                 "status": {**VALID_ENTRY["status"]},
             }
-            place, *below = path.split(".")
-            if below:
-                entry[place][below[0]] = value
+            field, *subfields = path.split(".")
+            if subfields:
+                entry[field][subfields[0]] = value
             else:
-                entry[place] = value
+                entry[field] = value
             malformed.append(entry)
         for entry in malformed:
             result = read_server(Stored("server", "i-1", 5, entry))
