--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -45,7 +45,7 @@
 
 def _start(site):
     site.start_store()
-    site.order(write=["config", "main", manifest(1), None])
+    site.control_store(write=["config", "main", manifest(1), None])
     for i in range(3):
         site.start_server(f"desk{i}", "desk", "ab"[i % 2])
         site.start_server(f"parts{i}", "parts", "ab"[i % 2])
@@ -86,7 +86,7 @@
 
     callers = [gevent.spawn(call, caller_index) for caller_index in range(N_CALLERS)]
     gevent.sleep(seconds / 2)
-    leader = site.order()["objects"]["ramp-leader"]["leader"]["spec"]["name"]
+    leader = site.control_store()["objects"]["ramp-leader"]["leader"]["spec"]["name"]
     site.kill(leader)
     print(f"killed the leader, {leader}", flush=True)
     gevent.joinall(callers)
--- a/soak/run.py
+++ b/soak/run.py
@@ -141,7 +141,7 @@
         getattr(self, f"_{kind}")(event, duration_s)
 
     def _leader(self):
-        objects = self.site.order()["objects"].get("ramp-leader", {})
+        objects = self.site.control_store()["objects"].get("ramp-leader", {})
         name = objects.get("leader", {}).get("spec", {}).get("name")
         return name if name in DAEMONS else "d1"
 
@@ -246,19 +246,19 @@
 
     def _store(self, event, duration_s):
         if event.detail == "forget":
-            self.site.order(forget_history=True)
+            self.site.control_store(forget_history=True)
             return
         value = {"down": True, "delay_ms": 400.0}.get(event.detail, 3)
         began_ms = time.time() * 1000.0
-        self.site.order(faults={event.detail: value})
+        self.site.control_store(faults={event.detail: value})
         gevent.sleep(duration_s)
-        self.site.order(faults={event.detail: type(value)()})
+        self.site.control_store(faults={event.detail: type(value)()})
         self.record.store_faults.append((began_ms, time.time() * 1000.0))
 
     def _take_out(self, event, duration_s):
-        self.site.order(write=["evacuations", event.name, {}, None])
+        self.site.control_store(write=["evacuations", event.name, {}, None])
         gevent.sleep(duration_s)
-        self.site.order(delete=["evacuations", event.name])
+        self.site.control_store(delete=["evacuations", event.name])
 
     def _manifest(self, event, duration_s):
         version = self._write_manifest()
@@ -279,7 +279,7 @@
     def _write_manifest(self):
         self.version += 1
         spec = manifest(self.version, **{f"v{self.version}": "desk"})
-        self.site.order(write=["config", "main", spec, None])
+        self.site.control_store(write=["config", "main", spec, None])
         return self.version
 
     def _save_logs(self):
--- a/src/tarragonramp/adapters/fleet_peers.py
+++ b/src/tarragonramp/adapters/fleet_peers.py
@@ -16,7 +16,7 @@
 
 __all__ = ["FleetPeers", "PeerApplication"]
 
-PING, STEP_DOWN_PATH, NEWS_PATH, RELAY, METRICS_PATH = (
+PING_PATH, STEP_DOWN_PATH, NEWS_PATH, RELAY_PATH, METRICS_PATH = (
     "/peer/ping",
     "/peer/step-down",
     "/peer/news",
@@ -58,7 +58,7 @@
         reply : Success of dict, or Failure of ExchangeError
         """
         timeout_ms = wait_ms + TIMEOUT_MS
-        return self._exchange("POST", address, PING, message, timeout_ms)
+        return self._exchange("POST", address, PING_PATH, message, timeout_ms)
 
     def step_down(self, address, term, successor) -> Result:
         """Tell a former leader that the daemon at ``successor`` has a later term.
@@ -70,7 +70,7 @@
 
     def relay(self, address, message, timeout_ms) -> Result:
         """Have a daemon renew grants; returns as :meth:`ping` does."""
-        return self._exchange("POST", address, RELAY, message, timeout_ms)
+        return self._exchange("POST", address, RELAY_PATH, message, timeout_ms)
 
     def news(self, kind, since_version, address=""):
         """Ask a peer for objects of a kind that changed after a version.
@@ -159,14 +159,14 @@
         """Serve one request."""
         path = environ["PATH_INFO"]
         try:
-            if path == PING:
+            if path == PING_PATH:
                 response = self.leadership.handle_ping(_read_message(environ))
             elif path == STEP_DOWN_PATH:
                 request = _read_message(environ)
                 response = self.leadership.handle_step_down(
                     request["term"], str(request.get("successor", ""))
                 )
-            elif path == RELAY:
+            elif path == RELAY_PATH:
                 is_wanted = lambda: not caller_disconnected(environ)
                 response = self.relay.send(_read_message(environ), is_wanted)
             elif path == NEWS_PATH:
--- a/src/tarragonramp/adapters/peers.py
+++ b/src/tarragonramp/adapters/peers.py
@@ -21,7 +21,13 @@
 from ..wire import peer_pb2, peer_pb2_grpc
 from .http import HttpPools, Response
 
-__all__ = ["GrpcPeers", "PeerServer", "PingAnswer", "news_payload", "news_question"]
+__all__ = [
+    "GrpcPeers",
+    "PeerServer",
+    "PingAnswer",
+    "news_payload",
+    "parse_news_question",
+]
 
 PING_TARGET = "/peer/ping"
 NEWS_TARGET = "/peer/news"
@@ -350,7 +356,7 @@
     return message.ByteSize() + GRPC_OVERHEAD_BYTES
 
 
-def news_question(raw):
+def parse_news_question(raw):
     """Parse a NewsQuestion; fields unknown to this version are ignored.
 
     Raises
--- a/src/tarragonramp/changes.py
+++ b/src/tarragonramp/changes.py
@@ -18,7 +18,7 @@
     "resolve_kind",
     "set_domain_state",
     "read_declaration_files",
-    "shown",
+    "as_declaration",
 ]
 
 APPLY_ORDER = (KIND_TEMPLATE, KIND_FAILURE_DOMAIN, KIND_TEAM)
@@ -155,7 +155,7 @@
     return {key: value for key, value in spec.items() if key not in SYSTEM_FIELDS}
 
 
-def shown(stored):
+def as_declaration(stored):
     """Return an object in the form of a declaration, with its version."""
     spec = stored["spec"]
     if stored["kind"] in DECLARED_KINDS:
--- a/src/tarragonramp/command.py
+++ b/src/tarragonramp/command.py
@@ -15,13 +15,13 @@
 
 from .changes import (
     apply_all,
+    as_declaration,
     check_at_daemon,
     declared_spec,
     format_faults,
     read_declaration_files,
     resolve_kind,
     set_domain_state,
-    shown,
 )
 from .client import (
     EXIT_DIFFERS,
@@ -159,13 +159,13 @@
         if found is None:
             message = f"no {kind} named {name!r}: see 'tarragonramp get {kind}'"
             raise CommandError(EXIT_FAILED, message)
-        found = shown(found)
+        found = as_declaration(found)
         _print(found, output, lambda item: render(item, "yaml", None))
         return
     items = client.get(f"/operator/objects/{urllib.parse.quote(kind, safe='')}")[
         "items"
     ]
-    items = [shown(item) for item in items]
+    items = [as_declaration(item) for item in items]
     _print(items, output, lambda data: format_table(data, ("kind", "name", "version")))
 
 
--- a/src/tarragonramp/fleet_view.py
+++ b/src/tarragonramp/fleet_view.py
@@ -55,7 +55,7 @@
     daemons: dict = attrs.Factory(dict)
     watchers: frozenset = frozenset()
     servers_loaded: bool = False
-    work: KeyLoadRecorder = attrs.Factory(KeyLoadRecorder)
+    key_load_recorder: KeyLoadRecorder = attrs.Factory(KeyLoadRecorder)
     _table_versions: dict = attrs.Factory(dict)
     _changed: Event = attrs.Factory(Event)
 
--- a/src/tarragonramp/roles/control.py
+++ b/src/tarragonramp/roles/control.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from ..adapters.peers import news_payload, news_question
+from ..adapters.peers import news_payload, parse_news_question
 from ..adapters.web import REASONS, json_reply
 from .status import IN_FORCE_TARGET
 
@@ -82,7 +82,7 @@
         if path == "/peer/ping":
             return json_reply(start_response, 200, self._answer_ping(json.loads(body)))
         if path == "/peer/news":
-            news = news_payload(self.news.answer(news_question(body)))
+            news = news_payload(self.news.answer(parse_news_question(body)))
             return json_reply(start_response, 200, news)
         return json_reply(start_response, 404, {"error": "no such path"})
 
--- a/src/tarragonramp/roles/leadership.py
+++ b/src/tarragonramp/roles/leadership.py
@@ -131,7 +131,7 @@
     clock: object
     seeds: tuple = ()
     timing: LeaseTiming = LeaseTiming()
-    standing: LeadershipState = attrs.field(init=False)
+    leadership_state: LeadershipState = attrs.field(init=False)
     stopping: bool = False
     inherited: InheritedGrants = InheritedGrants()
     in_doubt_grants: object = InheritedGrants
@@ -149,31 +149,31 @@
 
     def __attrs_post_init__(self):
         """Start without a known leader."""
-        self.standing = LeadershipState(self.address, self.boot_id, self.timing)
+        self.leadership_state = LeadershipState(self.address, self.boot_id, self.timing)
         self.view.daemons[self.name] = self.address
 
     @property
     def leads(self):
         """Whether this daemon may renew grants now."""
-        return self.standing.may_renew(self.clock.now_ms())
+        return self.leadership_state.may_renew(self.clock.now_ms())
 
     @property
     def term(self):
         """The term of the record that this daemon knows; 0 if there is none."""
-        return self.standing.record.term if self.standing.record else 0
+        return self.leadership_state.record.term if self.leadership_state.record else 0
 
     @property
     def may_move(self):
         """Whether this daemon may move keys now."""
-        return not self.stopping and self.standing.may_move(self.clock.now_ms())
+        return not self.stopping and self.leadership_state.may_move(self.clock.now_ms())
 
     def run(self):
         """Lead, or follow the leader, forever."""
         while True:
-            if self.standing.is_named:
+            if self.leadership_state.is_named:
                 self._renew_record()
                 pause_ms = self.timing.renew_ms
-            elif self.standing.record is None:
+            elif self.leadership_state.record is None:
                 self._discover_leader()
                 pause_ms = RECORD_CHECK_INTERVAL_MS * (0.8 + 0.4 * self._rng.random())
             else:
@@ -212,21 +212,21 @@
         responds or this process ends.
         """
         self.stopping = True
-        while self.standing.is_named and not self._is_confirmed():
+        while self.leadership_state.is_named and not self._is_confirmed():
             gevent.sleep(RESIGN_POLL_MS / 1000.0)
-        if not self.standing.is_named:
+        if not self.leadership_state.is_named:
             return
-        version = self.standing.version
-        term = self.standing.record.term
+        version = self.leadership_state.version
+        term = self.leadership_state.record.term
         # Renewals stop before the write, as the successor relies on the record to mean
         # that nothing more is sent.
-        self.standing.give_up()
+        self.leadership_state.give_up()
         record = attrs.evolve(NO_LEADER, term=term)
         result = self.store.put(LEADER_KIND, LEADER_NAME, record.to_spec(), version)
         log_event("leader-resigned", told_store=is_successful(result))
 
     def _is_confirmed(self):
-        age_ms = self.standing.confirmed_age_ms(self.clock.now_ms())
+        age_ms = self.leadership_state.confirmed_age_ms(self.clock.now_ms())
         return age_ms < 2 * self.timing.renew_ms
 
     def handle_ping(self, message):
@@ -327,7 +327,9 @@
 
     def _ms_until_store_lost(self, now_ms):
         """Return the time in ms until the store counts as lost if no call succeeds."""
-        stale_in_ms = CONFIRMATION_EXPIRY_MS - self.standing.confirmed_age_ms(now_ms)
+        stale_in_ms = CONFIRMATION_EXPIRY_MS - self.leadership_state.confirmed_age_ms(
+            now_ms
+        )
         return min(stale_in_ms, self.follower.ms_until_cut_off)
 
     def _log_store_reachability(self, hears_store, now_ms):
@@ -337,7 +339,7 @@
         self._logged_hears_store = hears_store
         log_event(
             "leader-hears-store" if hears_store else "leader-lost-store",
-            confirmed_ms_ago=round(self.standing.confirmed_age_ms(now_ms)),
+            confirmed_ms_ago=round(self.leadership_state.confirmed_age_ms(now_ms)),
             failing=",".join(self.follower.failing_since_ms) or "none",
         )
 
@@ -396,14 +398,14 @@
         answer : dict
             Plain data: whether this daemon still leads, and its grants in doubt.
         """
-        record = self.standing.record
-        if self.standing.is_named and record is not None and term > record.term:
+        record = self.leadership_state.record
+        if self.leadership_state.is_named and record is not None and term > record.term:
             log_event("leader-superseded", term=term, successor=successor)
-            self.standing.give_up()
+            self.leadership_state.give_up()
             self._successor = successor
             self._unanswered_pings = 0 if successor else MAX_UNANSWERED_PINGS
         in_doubt_grants = self.in_doubt_grants().to_message(self.clock.now_ms())
-        leads = self.standing.is_named
+        leads = self.leadership_state.is_named
         return {"boot_id": self.boot_id, "leads": leads, "doubts": in_doubt_grants}
 
     def recent_load(self, service):
@@ -424,14 +426,16 @@
     def _renew_record(self):
         """Renew the record, so that the other daemons see its version change."""
         sent_ms = self.clock.now_ms()
-        version = self.standing.version
-        record = self.standing.record
+        version = self.leadership_state.version
+        record = self.leadership_state.record
         spec = {**record.to_spec(), "beat": round(sent_ms)}
         result = self.store.put(LEADER_KIND, LEADER_NAME, spec, version)
         if is_successful(result):
-            self.standing.confirmed(record, result.unwrap().version, sent_ms)
+            self.leadership_state.confirmed(record, result.unwrap().version, sent_ms)
             now_ms = self.clock.now_ms()
-            self._key_loads.add(self.view.work.drain(self.view.tables), now_ms)
+            self._key_loads.add(
+                self.view.key_load_recorder.drain(self.view.tables), now_ms
+            )
             self.selector.update_peer_in_flight(
                 self._in_flight_except(self.name, now_ms), now_ms
             )
@@ -455,17 +459,17 @@
         record = None if stored is None else _parse_record(stored)
         if record is not None and record.boot_id == self.boot_id:
             # The record is from this daemon's own write, whose response was lost.
-            self.standing.version = stored.version
+            self.leadership_state.version = stored.version
             return
         log_event("leader-superseded", by=record.name if record else "nobody")
-        self.standing.give_up()
+        self.leadership_state.give_up()
         self._observe_record(record, stored.version if stored else 0)
 
     def _discover_leader(self):
         """Read the record and lead if it is stale; without the store, ask the seeds."""
         if not self._check_record():
             self._ask_seeds()
-        elif not self.standing.is_named:
+        elif not self.leadership_state.is_named:
             self._ping()
 
     def _check_record(self):
@@ -485,7 +489,7 @@
         else:
             self.follower.follow_store("leader not known")
             return False
-        if not self.stopping and self.standing.may_take_over(now_ms):
+        if not self.stopping and self.leadership_state.may_take_over(now_ms):
             self._take_over()
         return True
 
@@ -494,7 +498,7 @@
 
         That is the case after a start, or in an outage.
         """
-        if self.standing.record is not None:
+        if self.leadership_state.record is not None:
             self._ping()
             return
         message = {"name": self.name, "address": self.address, "versions": {}}
@@ -505,18 +509,20 @@
             response = result.unwrap() if is_successful(result) else {}
             leader = address if response.get("leads") else response.get("leader")
             if leader:
-                self.standing.record = LeaderRecord("(from a seed)", "", leader, 0)
+                self.leadership_state.record = LeaderRecord(
+                    "(from a seed)", "", leader, 0
+                )
                 self._ping()
                 return
 
     def _observe_record(self, record, version):
-        if version != self.standing.version:
+        if version != self.leadership_state.version:
             self._unanswered_pings = 0
             self._successor = ""
-        self.standing.observe(record, version, self.clock.now_ms())
+        self.leadership_state.observe(record, version, self.clock.now_ms())
 
     def _take_over(self):
-        before = self.standing.record
+        before = self.leadership_state.record
         sent_ms = self.clock.now_ms()
         term = before.term + 1 if before else 1
         record = LeaderRecord(self.name, self.boot_id, self.address, term)
@@ -525,7 +531,9 @@
         self.inherited = self._inherited_after(
             max(self.inherited.stopped_ms, self._latest_right_end_ms())
         )
-        result = self.store.put(LEADER_KIND, LEADER_NAME, spec, self.standing.version)
+        result = self.store.put(
+            LEADER_KIND, LEADER_NAME, spec, self.leadership_state.version
+        )
         if not is_successful(result):
             error = result.failure()
             if isinstance(error, ConflictError) and error.current is not None:
@@ -537,7 +545,7 @@
         for name in self.view.daemons:
             self._last_heard_ms.setdefault(name, sent_ms)
         self.inherited = self._inherit(before, term)
-        self.standing.confirmed(record, result.unwrap().version, sent_ms)
+        self.leadership_state.confirmed(record, result.unwrap().version, sent_ms)
         self.follower.follow_store("leads")
         log_event(
             "leader-taken-over",
@@ -575,7 +583,7 @@
         now_ms = self.clock.now_ms()
         if before is None:
             # No daemon has led yet, or the record cannot be parsed.
-            nobody_led_before = not self.standing.version
+            nobody_led_before = not self.leadership_state.version
             right_ms = self._latest_right_end_ms()
             return (
                 InheritedGrants(now_ms)
@@ -615,7 +623,7 @@
             "address": self.address,
             "domain": self.selector.failure_domain,
             "clock_ms": int(self.clock.now_ms()),
-            "heat": self.view.work.drain(self.view.tables),
+            "heat": self.view.key_load_recorder.drain(self.view.tables),
             "versions": self.follower.changed,
             "n_daemons": len(self.view.daemons),
             "loads": self.selector.in_flight_by_server(),
@@ -630,13 +638,13 @@
             self._successor = ""
             self.follower.follow_store("leader does not answer")
             return False
-        if not self.standing.is_named:
+        if not self.leadership_state.is_named:
             self._apply_ping_response(address, result.unwrap())
         return True
 
     def _leader_address(self):
         """Return the leader's address: that of a known successor, or the record's."""
-        record = self.standing.record
+        record = self.leadership_state.record
         return self._successor or (record.address if record is not None else "")
 
     def _apply_ping_response(self, address, response):
--- a/src/tarragonramp/roles/membership.py
+++ b/src/tarragonramp/roles/membership.py
@@ -207,7 +207,7 @@
         other's terms.
         """
         domain = member.failure_domain
-        if not self.view.domain_lost(domain):
+        if not self.view.is_domain_lost(domain):
             return False
         registered = self.view.version_seen(KIND_MEMBER, member.name)
         return registered < self.view.version_seen(KIND_FAILURE_DOMAIN, domain)
--- a/src/tarragonramp/roles/planner.py
+++ b/src/tarragonramp/roles/planner.py
@@ -202,7 +202,7 @@
             # No steward was ever registered for it, so nothing was ever granted.
             return indexes
         vm = self.view.vms.get(server)
-        if vm is not None and self.view.domain_lost(vm.failure_domain):
+        if vm is not None and self.view.is_domain_lost(vm.failure_domain):
             # An operator has declared that nothing runs there any more.
             return indexes
         if vm is not None and vm.state == DEPARTED:
--- a/src/tarragonramp/roles/router.py
+++ b/src/tarragonramp/roles/router.py
@@ -214,7 +214,7 @@
         """
         if self.view.service(request.service).divided:
             took_ms = self.selector.work_ms(request.route.name)
-            self.view.work.note(request.service, request.key, took_ms)
+            self.view.key_load_recorder.note(request.service, request.key, took_ms)
 
     def _candidates(self, request):
         """Return the servers of a shared service that may be sent a request now.
@@ -291,7 +291,7 @@
         now_ms = self.clock.now_ms()
         took_ms = now_ms - began_ms
         if self.view.service(request.service).divided:
-            self.view.work.note(request.service, request.key, took_ms)
+            self.view.key_load_recorder.note(request.service, request.key, took_ms)
         if not is_successful(result):
             self._record_failure(request, chosen, result.failure(), now_ms)
             return result, took_ms
--- a/src/tarragonramp/view.py
+++ b/src/tarragonramp/view.py
@@ -246,7 +246,7 @@
         declared = self.get(KIND_FAILURE_DOMAIN, failure_domain)
         return declared is None or declared.state == IN
 
-    def domain_lost(self, failure_domain):
+    def is_domain_lost(self, failure_domain):
         """Tell whether an operator has declared a failure domain lost."""
         declared = self.get(KIND_FAILURE_DOMAIN, failure_domain)
         return declared is not None and declared.state == LOST
--- a/standins/fleet_site.py
+++ b/standins/fleet_site.py
@@ -164,7 +164,7 @@
         environment = {**os.environ, "TARRAGONRAMP_CONFIG": path}
         self._start(name, "platform/run.py", environment=environment)
 
-    def order(self, **command):
+    def control_store(self, **command):
         """Control the store's stand-in; return its objects and counts of calls.
 
         Parameters
@@ -176,13 +176,13 @@
         result = HttpPool(self.store).exchange("POST", "/control", (), body, 2000)
         return json.loads(result.unwrap().body)
 
-    def break_server(self, name, **faults):
+    def inject_server_faults(self, name, **faults):
         """Set how many of its next requests a server's stand-in fails, by fault."""
         body = json.dumps(faults).encode()
         pool = HttpPool(self.servers[name])
         pool.exchange("POST", "/stand-in/faults", (), body, 2000).unwrap()
 
-    def log_of(self, name):
+    def server_log_entries(self, name):
         """Return the log entries of a server's stand-in."""
         pool = HttpPool(self.servers[name])
         result = pool.exchange("GET", "/stand-in/log", (), b"", 2000)
@@ -193,7 +193,7 @@
         counts = {}
         for name in self.servers:
             if self.processes[name].poll() is None:
-                for entry in self.log_of(name):
+                for entry in self.server_log_entries(name):
                     if entry[0] == "run":
                         counts[entry[2]] = counts.get(entry[2], 0) + 1
         return counts
--- a/standins/layouts.py
+++ b/standins/layouts.py
@@ -18,7 +18,7 @@
     "BACKENDS",
     "CALLS",
     "DAEMONS",
-    "IN_DOMAIN",
+    "NAMES_BY_DOMAIN",
     "holder_of",
     "is_balanced",
     "start_small",
@@ -46,7 +46,7 @@
     Call("claim", "POST", lambda key: "/claims", "", 200),
 )
 ALL_DAEMONS = [spec.name for spec in DAEMONS]
-IN_DOMAIN = {
+NAMES_BY_DOMAIN = {
     domain: [x.name for x in (*DAEMONS, *BACKENDS) if x.failure_domain == domain]
     for domain in ("a", "b")
 }
--- a/standins/pauses.py
+++ b/standins/pauses.py
@@ -11,7 +11,7 @@
 
 from tarragonramp.adapters.usage import LoopWatch
 
-__all__ = ["watch_pauses", "pauses_in"]
+__all__ = ["watch_pauses", "read_pauses"]
 
 PAUSE_LINE = re.compile(r"event=(?:stood-still|event-loop-blocked) .*")
 
@@ -30,7 +30,7 @@
     print(line, file=sys.stderr, flush=True)
 
 
-def pauses_in(folder):
+def read_pauses(folder):
     """Return the pauses that the processes of a site have reported.
 
     Parameters
--- a/standins/site.py
+++ b/standins/site.py
@@ -303,7 +303,7 @@
                 entries += [json.loads(line) for line in stream if line.endswith("\n")]
         return entries
 
-    def lines_about(self, text):
+    def log_lines_containing(self, text):
         """Return the log lines of all daemons that contain a text, sorted by time."""
         lines = [
             x for name in self.settings for x in self.daemon_log(name).splitlines()
--- a/tests/explore_ownership.py
+++ b/tests/explore_ownership.py
@@ -3,22 +3,22 @@
 import argparse
 import sys
 
-from . import fleet_world, ownership_world
+from . import fleet_simulation, ownership_simulation
 
 __all__ = ["FLEET_RUNS", "RUNS", "explore"]
 
-RUNS = (ownership_world.run_seed, ownership_world.run_scenario)
-FLEET_RUNS = (fleet_world.run_seed,)
+RUNS = (ownership_simulation.run_seed, ownership_simulation.run_scenario)
+FLEET_RUNS = (fleet_simulation.run_seed,)
 
 
 def run_with_stale_entries(seed):
     """Run a schedule in a fleet whose store may list the previous server process."""
-    return fleet_world.run_seed(seed, stale_entries=True)
+    return fleet_simulation.run_seed(seed, stale_entries=True)
 
 
 def run_with_check_on_arrival(seed):
     """Run a schedule whose servers compare a delayed grant's token on arrival."""
-    return fleet_world.run_seed(seed, compares_on_arrival=True)
+    return fleet_simulation.run_seed(seed, compares_on_arrival=True)
 
 
 def explore(first, count, report=lambda line: None, runs=RUNS):
@@ -43,7 +43,7 @@
         for run in runs:
             try:
                 n_moves += run(seed).moves
-            except ownership_world.InvariantViolationError as violation:
+            except ownership_simulation.InvariantViolationError as violation:
                 n_violations += 1
                 report(f"{run.__module__}.{run.__name__}({seed}): {violation}")
     return n_violations, n_moves
--- a/tests/faults.py
+++ b/tests/faults.py
@@ -6,13 +6,13 @@
 import gevent
 
 from standins.checker import check_run
-from standins.layouts import ALL_DAEMONS, CALLS, IN_DOMAIN, holder_of, start_small
+from standins.layouts import ALL_DAEMONS, CALLS, NAMES_BY_DOMAIN, holder_of, start_small
 from standins.load import Load
-from standins.pauses import pauses_in
+from standins.pauses import read_pauses
 from standins.proxy import Fault
 from standins.site import Site
 
-__all__ = ["ALL_DAEMONS", "IN_DOMAIN", "FaultTestCase", "partition"]
+__all__ = ["ALL_DAEMONS", "NAMES_BY_DOMAIN", "FaultTestCase", "partition"]
 
 
 PAUSE_MS = 20.0
@@ -111,7 +111,7 @@
         try:
             super()._callTestMethod(method)
         except Exception:
-            print("\n".join(["pauses:", *pauses_in(self.site.folder)]))
+            print("\n".join(["pauses:", *read_pauses(self.site.folder)]))
             raise
 
     def print_daemon_logs(self):
--- a/tests/fleet_mutants.py
+++ b/tests/fleet_mutants.py
@@ -14,7 +14,7 @@
 from tarragonramp.roles.leadership import Leadership
 from tarragonramp.roles.mover import Mover
 
-from .fleet_world import HttpGrants
+from .fleet_simulation import HttpGrants
 
 __all__ = ["MUTANTS", "apply_mutant"]
 
--- a/tests/fleet_world.py
+++ b/tests/fleet_simulation.py
@@ -38,7 +38,7 @@
 from tarragonramp.model import Stored
 from tarragonramp.roles import granter, grants, leadership, mover, relay, tasks
 
-from .ownership_world import InvariantViolationError
+from .ownership_simulation import InvariantViolationError
 
 sys.path.insert(0, os.path.join(os.path.dirname(__file__), os.pardir, "platform"))
 
@@ -281,7 +281,7 @@
     def run_leadership(self):
         """Renew the leader's record while leading, otherwise check it."""
         while True:
-            if self.leadership.standing.is_named:
+            if self.leadership.leadership_state.is_named:
                 self.leadership._renew_record()
                 pause_ms = self.leadership.timing.renew_ms
             else:
--- a/tests/ownership_mutants.py
+++ b/tests/ownership_mutants.py
@@ -9,7 +9,7 @@
 from tarragonramp import assignments, terms
 from tarragonramp.leases import GrantLedger
 
-from . import ownership_world
+from . import ownership_simulation
 
 __all__ = ["MUTANTS"]
 
@@ -83,7 +83,7 @@
     on_release(indexes)
 
 
-_Simulation = ownership_world.Simulation
+_Simulation = ownership_simulation.Simulation
 
 MUTANTS = {
     "no wait for earlier rights after a takeover": _patch(
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -161,7 +161,9 @@
         callers.get()
         failures = [o for o in load.outcomes if o.result != "well"]
         for outcome in failures[:5]:
-            print(outcome, *self.site.lines_about(outcome.request_id), sep="\n")
+            print(
+                outcome, *self.site.log_lines_containing(outcome.request_id), sep="\n"
+            )
         self.assertEqual(failures[:5], [], summary(load.outcomes))
         self.assertGreater(len(load.outcomes), 1000)
         faults = check_run(self.site.executions(), load.outcomes)
--- a/tests/test_exploration.py
+++ b/tests/test_exploration.py
@@ -8,7 +8,7 @@
 
 from .explore_ownership import explore
 from .ownership_mutants import MUTANTS, apply_mutant
-from .ownership_world import (
+from .ownership_simulation import (
     FAULTS,
     InvariantViolationError,
     Simulation,
--- a/tests/test_faults_cuts.py
+++ b/tests/test_faults_cuts.py
@@ -1,7 +1,7 @@
 """Fault tests with network partitions, in both directions or in one."""
 
 from standins.layouts import CALLS
-from tests.faults import ALL_DAEMONS, IN_DOMAIN, FaultTestCase, partition
+from tests.faults import ALL_DAEMONS, NAMES_BY_DOMAIN, FaultTestCase, partition
 
 RECORD_CALLS = [call for call in CALLS if call.key_header]
 
@@ -15,7 +15,7 @@
         Each side serves the keys of its own servers to the callers it can reach and
         refuses the other side's keys as not run. Ownership does not move.
         """
-        faults = partition(IN_DOMAIN["b"], [*IN_DOMAIN["a"], "platform"])
+        faults = partition(NAMES_BY_DOMAIN["b"], [*NAMES_BY_DOMAIN["a"], "platform"])
         outcomes = self.run_load_during_faults(faults, 7.0)
         self.check_invariants(outcomes)
         self.check_recovered(outcomes)
--- a/tests/test_faults_gated.py
+++ b/tests/test_faults_gated.py
@@ -27,7 +27,7 @@
         """Return the names of all daemons but one."""
         return [other for other in ALL_DAEMONS if other != name]
 
-    def test_a_frozen_steward_thaws_with_requests_in_its_hands(self):
+    def test_paused_steward_resumes_with_requests_in_flight(self):
         """The steward is paused with forwarded claims in flight, then resumed.
 
         Meanwhile its successor sends to the server. The requests that the former
--- a/tests/test_faults_news.py
+++ b/tests/test_faults_news.py
@@ -21,7 +21,7 @@
         self.site = site = FleetSite(proxy=free_address())
         self.addCleanup(site.close)
         site.start_store()
-        site.order(write=["config", "main", manifest(1), None])
+        site.control_store(write=["config", "main", manifest(1), None])
         for i in range(6):
             site.start_server(f"desk{i}", "desk", "ab"[i % 2])
         site.start_server("parts0", "parts", "a")
@@ -44,7 +44,7 @@
 
     def leader_record(self):
         """Return the stored object that names the leader."""
-        return self.site.order()["objects"]["ramp-leader"]["leader"]
+        return self.site.control_store()["objects"]["ramp-leader"]["leader"]
 
     def test_new_manifest_reaches_all_if_the_leader_is_cut_off(self):
         self.isolate_leader()
@@ -60,7 +60,9 @@
 
     def assert_new_route_is_served(self):
         """Add a route and fail unless all daemons serve it two seconds later."""
-        self.site.order(write=["config", "main", manifest(5, fresh="desk"), None])
+        self.site.control_store(
+            write=["config", "main", manifest(5, fresh="desk"), None]
+        )
         time.sleep(PROPAGATION_LIMIT_S)
         statuses = {
             name: self.site.call(name, "/fresh/", f"m-{name}").status
@@ -80,9 +82,9 @@
         self.assert_no_new_requests(*names)
 
     def test_deregistered_server_gets_no_requests_after_a_store_outage(self):
-        self.site.order(faults={"down": True})
+        self.site.control_store(faults={"down": True})
         time.sleep(1.0)
-        self.site.order(faults={"down": False})
+        self.site.control_store(faults={"down": False})
         time.sleep(SETTLE_S)
         self.signal_servers(signal.SIGUSR2, "desk0")
         self.assert_no_new_requests("desk0")
@@ -104,7 +106,7 @@
 
     def is_draining_or_gone(self, name):
         """Tell whether the store lists a server as draining or not at all."""
-        entry = self.site.order()["objects"]["servers"].get(name)
+        entry = self.site.control_store()["objects"]["servers"].get(name)
         return entry is None or entry["spec"]["status"]["state"] == "draining"
 
     def assert_no_new_requests(self, *names):
@@ -113,7 +115,12 @@
         for daemon in DAEMONS:
             for i in range(20):
                 self.site.call(daemon, "/view/", f"late-{daemon}-{i}")
-        runs = [e[2] for name in names for e in self.site.log_of(name) if e[0] == "run"]
+        runs = [
+            e[2]
+            for name in names
+            for e in self.site.server_log_entries(name)
+            if e[0] == "run"
+        ]
         self.assertEqual([named for named in runs if named.startswith("late")], [])
 
 
--- a/tests/test_faults_operators.py
+++ b/tests/test_faults_operators.py
@@ -7,7 +7,7 @@
 
 from standins.checker import new_work_after
 from tarragonramp.adapters.http import HttpPool
-from tests.faults import ALL_DAEMONS, IN_DOMAIN, FaultTestCase
+from tests.faults import ALL_DAEMONS, NAMES_BY_DOMAIN, FaultTestCase
 
 PROPAGATION_LIMIT_S = 5.0
 
@@ -52,7 +52,7 @@
         self.check_invariants(outcomes)
         self.assertEqual([o for o in outcomes if o.result != "well"][:3], [])
         faults = new_work_after(
-            self.site.executions(), IN_DOMAIN["b"], times["out"], times["back"]
+            self.site.executions(), NAMES_BY_DOMAIN["b"], times["out"], times["back"]
         )
         self.assertEqual(faults[:3], [])
         used_ms = [
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -22,7 +22,7 @@
         cls.site = FleetSite()
         cls.addClassCleanup(cls.site.close)
         cls.site.start_store()
-        cls.site.order(write=["config", "main", manifest(1), None])
+        cls.site.control_store(write=["config", "main", manifest(1), None])
         cls.site.start_server("desk0", "desk", "a")
         cls.site.start_server("parts0", "parts", "a")
         cls.port_holder = socket.create_server((TAKEN_IP, METRICS_PORT))
@@ -79,9 +79,9 @@
     def test_bodies_and_headers_are_never_logged(self):
         """Requests fail in every way that is logged; their content must not be."""
         for fault in ("shed", "lose", "truncate", "foreign"):
-            self.site.break_server("desk0", **{fault: 2})
+            self.site.inject_server_faults("desk0", **{fault: 2})
             self.send_claim(f"secret-{fault}")
-            self.site.break_server("desk0", **{fault: 0})
+            self.site.inject_server_faults("desk0", **{fault: 0})
         log = self.site.log_text("d1")
         for fault in ("shed", "lose", "truncate", "foreign"):
             self.assertIn(f"id=secret-{fault}", log)
--- a/tests/test_fleet_exploration.py
+++ b/tests/test_fleet_exploration.py
@@ -11,8 +11,8 @@
 
 from .explore_ownership import FLEET_RUNS, explore
 from .fleet_mutants import MUTANTS, apply_mutant
-from .fleet_world import FAULTS, SCENARIOS, run_scenario, run_seed, simulated
-from .ownership_world import InvariantViolationError
+from .fleet_simulation import FAULTS, SCENARIOS, run_scenario, run_seed, simulated
+from .ownership_simulation import InvariantViolationError
 
 N_SEEDS = 25
 
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -9,7 +9,7 @@
 
 from returns.result import Failure, Success
 
-from tarragonramp.adapters.fleet_peers import PING, PeerApplication
+from tarragonramp.adapters.fleet_peers import PING_PATH, PeerApplication
 from tarragonramp.balancing import Selection, ServerSelector
 from tarragonramp.clock import ManualClock
 from tarragonramp.directory import MISSING_ROUTABLE_MS, BackendServer
@@ -41,7 +41,7 @@
     def ping(self, address, message, wait_ms):
         """Ping the leader, as ``FleetPeers.ping`` does."""
         data = zlib.compress(json.dumps(message).encode())
-        environ = {"PATH_INFO": PING, "wsgi.input": io.BytesIO(data)}
+        environ = {"PATH_INFO": PING_PATH, "wsgi.input": io.BytesIO(data)}
         (body,) = self.application(environ, lambda status, headers: None)
         self.n_bytes += len(body) + OVERHEAD_BYTES
         return Success(json.loads(zlib.decompress(body)))
@@ -77,7 +77,7 @@
         follower = Follower(view, None, None, ports, self.clock)
         arguments = f"boot-{name}", f"{name}:1", view, None, self.link, follower
         created = Leadership(name, *arguments, ServerSelector("san-juan"), self.clock)
-        created.standing.confirmed(RECORD, 1, self.clock.now_ms())
+        created.leadership_state.confirmed(RECORD, 1, self.clock.now_ms())
         return created
 
     def read_server(self, item):
--- a/tests/test_fleet_path.py
+++ b/tests/test_fleet_path.py
@@ -21,7 +21,7 @@
     site = FleetSite()
     case.addClassCleanup(site.close)
     site.start_store()
-    site.order(write=["config", "main", manifest(1), None])
+    site.control_store(write=["config", "main", manifest(1), None])
     for i in range(3):
         site.start_server(f"desk{i}", "desk", "ab"[i % 2])
         site.start_server(f"parts{i}", "parts", "ab"[i % 2])
@@ -43,7 +43,7 @@
 
 def leader_of(site):
     """Return the name of the leader according to the store."""
-    objects = site.order()["objects"]
+    objects = site.control_store()["objects"]
     return objects["ramp-leader"]["leader"]["spec"]["name"]
 
 
@@ -71,7 +71,7 @@
         runs = [
             entry
             for name in self.site.servers
-            for entry in self.site.log_of(name)
+            for entry in self.site.server_log_entries(name)
             if entry[0] == "run" and entry[2] == "left-1"
         ]
         self.assertEqual(len(runs), 1)
@@ -82,7 +82,7 @@
         """Two servers are never granted the same range under one token."""
         holds = {}
         for name in ("parts0", "parts1", "parts2"):
-            for entry in self.site.log_of(name):
+            for entry in self.site.server_log_entries(name):
                 if entry[0] == "grant":
                     holds.setdefault((entry[2], entry[3]), set()).add((name, entry[4]))
         self.assertGreater(len(holds), 20)
@@ -91,17 +91,19 @@
             self.assertEqual(len(tokens), len(owners), keys)
 
     def test_a_new_manifest_is_in_force_everywhere_within_two_seconds(self):
-        self.site.order(write=["config", "main", manifest(5, late="desk"), None])
+        self.site.control_store(
+            write=["config", "main", manifest(5, late="desk"), None]
+        )
         time.sleep(2.0)
         for daemon in DAEMONS:
             self.assertEqual(self.site.call(daemon, "/late/", "l1").status, 200)
         # An older manifest that is written later has no effect.
-        self.site.order(write=["config", "main", manifest(3), None])
+        self.site.control_store(write=["config", "main", manifest(3), None])
         time.sleep(1.0)
         for daemon in DAEMONS:
             self.assertEqual(self.site.call(daemon, "/late/", "l2").status, 200)
         # Neither has an invalid one.
-        self.site.order(write=["config", "main", {"version": "r9"}, None])
+        self.site.control_store(write=["config", "main", {"version": "r9"}, None])
         time.sleep(1.0)
         for daemon in DAEMONS:
             self.assertEqual(self.site.call(daemon, "/late/", "l3").status, 200)
@@ -112,19 +114,19 @@
             ("x2", {"info": {}, "status": None}),
             ("x3", {"addr": "a:b", "born": "soon", "info": {}, "status": {}}),
         ):
-            self.site.order(write=["servers", name, entry, None])
+            self.site.control_store(write=["servers", name, entry, None])
         time.sleep(0.5)
         self.assertEqual(self.site.call("d1", "/view/", "after-bad").status, 200)
 
     def test_only_two_daemons_follow_the_store(self):
         """Each daemon that watches the store costs calls, so only two do."""
-        before = self.site.order()["calls"]
-        self.site.order(write=["evacuations", "nowhere", {}, None])
+        before = self.site.control_store()["calls"]
+        self.site.control_store(write=["evacuations", "nowhere", {}, None])
         time.sleep(1.5)
-        after = self.site.order()["calls"]
+        after = self.site.control_store()["calls"]
         asked = after["watch evacuations"] - before["watch evacuations"]
         self.assertIn(asked, (2, 3))
-        self.site.order(delete=["evacuations", "nowhere"])
+        self.site.control_store(delete=["evacuations", "nowhere"])
 
 
 class FaultyServersTest(unittest.TestCase):
@@ -137,7 +139,7 @@
     def inject_faults(self, **faults):
         """Make the next requests at every server of the shared service fail."""
         for name in ("desk0", "desk1", "desk2"):
-            self.site.break_server(name, **faults)
+            self.site.inject_server_faults(name, **faults)
 
     def tearDown(self):
         none = dict.fromkeys(("shed", "lose", "truncate", "foreign", "unmarked"), 0)
@@ -176,7 +178,7 @@
 
     def test_unanswered_grants_lose_no_key(self):
         for name in ("parts0", "parts1", "parts2"):
-            self.site.break_server(name, silent_grants=3)
+            self.site.inject_server_faults(name, silent_grants=3)
         time.sleep(6.0)
         self.assertTrue(all_keys_served(self.site))
 
@@ -210,16 +212,16 @@
             self.site.call("d2", "/parts/", f"drained-{key}", key)
         late = [
             entry
-            for entry in self.site.log_of("parts9")
+            for entry in self.site.server_log_entries("parts9")
             if entry[0] == "run" and entry[1] > started
         ]
         self.assertEqual(late, [])
         self.assertTrue(all_keys_served(self.site))
         self.site.kill("parts9")
-        self.site.order(delete=["servers", "parts9"])
+        self.site.control_store(delete=["servers", "parts9"])
 
     def test_requests_are_served_during_an_outage_of_the_store(self):
-        self.site.order(faults={"down": True})
+        self.site.control_store(faults={"down": True})
         until_s = time.monotonic() + 8.0
         i = 0
         while time.monotonic() < until_s:
@@ -228,7 +230,7 @@
             answer = self.site.call("d3", "/parts/", f"away-{i}", key)
             self.assertEqual(answer.status, 200)
             gevent.sleep(0.1)
-        self.site.order(faults={"down": False})
+        self.site.control_store(faults={"down": False})
 
     def test_a_lost_watch_response_hides_no_manifest(self):
         """A response to a watch is lost while its connection stays open.
@@ -236,15 +238,19 @@
         The daemon would use the old manifest until the watch times out. It notices the
         change by comparing with a peer whose watch was answered.
         """
-        self.site.order(faults={"lose_watches": 1})
-        self.site.order(write=["config", "main", manifest(20, fresh="desk"), None])
+        self.site.control_store(faults={"lose_watches": 1})
+        self.site.control_store(
+            write=["config", "main", manifest(20, fresh="desk"), None]
+        )
         time.sleep(3.0)
         for daemon in DAEMONS:
             self.assertEqual(self.site.call(daemon, "/fresh/", "f1").status, 200)
 
     def test_all_objects_are_read_again_after_the_history_is_gone(self):
-        self.site.order(forget_history=True)
-        self.site.order(write=["config", "main", manifest(30, again="desk"), None])
+        self.site.control_store(forget_history=True)
+        self.site.control_store(
+            write=["config", "main", manifest(30, again="desk"), None]
+        )
         time.sleep(2.0)
         for daemon in DAEMONS:
             self.assertEqual(self.site.call(daemon, "/again/", "g1").status, 200)
--- a/tests/test_granter.py
+++ b/tests/test_granter.py
@@ -36,7 +36,7 @@
 )
 from tarragonramp.roles.granter import Granter
 
-from .fleet_world import Store
+from .fleet_simulation import Store
 
 TIMING = LeaseTiming()
 FENCE = fence_token(1, 1, 0)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -262,7 +262,7 @@
         for daemon in (self.one, third):
             daemon._discover_leader()
         self.let_record_go_stale(self.other)
-        self.other.standing.give_up()
+        self.other.leadership_state.give_up()
         for _ in range(3):
             third._ping()
         self.assertIn("nobody leads", third.follower.events)
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -14,42 +14,44 @@
     """One daemon and the leader's record in the store."""
 
     def setUp(self):
-        self.standing = LeadershipState("10.0.0.1:1", "b1", TIMING)
+        self.leadership_state = LeadershipState("10.0.0.1:1", "b1", TIMING)
 
     def test_record_that_is_renewed_is_not_taken_over(self):
         now_ms = 0.0
         for version in range(1, 20):
-            self.standing.observe(OTHER, version, now_ms)
+            self.leadership_state.observe(OTHER, version, now_ms)
             now_ms += TIMING.renew_ms
-            self.assertFalse(self.standing.may_take_over(now_ms))
+            self.assertFalse(self.leadership_state.may_take_over(now_ms))
 
     def test_unchanged_record_is_taken_over_after_the_lease(self):
-        self.standing.observe(OTHER, 5, 0.0)
-        self.standing.observe(OTHER, 5, TIMING.lease_ms - 1)
-        self.assertFalse(self.standing.may_take_over(TIMING.lease_ms - 1))
-        self.assertTrue(self.standing.may_take_over(TIMING.lease_ms))
+        self.leadership_state.observe(OTHER, 5, 0.0)
+        self.leadership_state.observe(OTHER, 5, TIMING.lease_ms - 1)
+        self.assertFalse(self.leadership_state.may_take_over(TIMING.lease_ms - 1))
+        self.assertTrue(self.leadership_state.may_take_over(TIMING.lease_ms))
 
     def test_earlier_process_at_the_same_address_has_ended(self):
-        self.standing.observe(LeaderRecord("d1", "b0", "10.0.0.1:1", 2), 5, 0.0)
-        self.assertTrue(self.standing.may_take_over(1.0))
-        self.assertFalse(self.standing.is_named)
+        self.leadership_state.observe(LeaderRecord("d1", "b0", "10.0.0.1:1", 2), 5, 0.0)
+        self.assertTrue(self.leadership_state.may_take_over(1.0))
+        self.assertFalse(self.leadership_state.is_named)
 
     def test_record_without_a_name_can_be_taken_over(self):
-        self.standing.observe(LeaderRecord("", "", "", 4), 5, 0.0)
-        self.assertTrue(self.standing.may_take_over(1.0))
+        self.leadership_state.observe(LeaderRecord("", "", "", 4), 5, 0.0)
+        self.assertTrue(self.leadership_state.may_take_over(1.0))
 
     def test_moves_stop_before_another_daemon_can_take_over(self):
         """An unconfirmed leader renews grants but moves no keys."""
-        self.standing.confirmed(OWN, 7, 1000.0)
-        self.assertTrue(self.standing.may_move(1000.0 + TIMING.lease_ms / 2 - 1))
-        self.assertFalse(self.standing.may_move(1000.0 + TIMING.lease_ms))
-        self.assertTrue(self.standing.may_renew(1000.0 + TIMING.right_ms - 1))
-        self.assertFalse(self.standing.may_renew(1000.0 + TIMING.right_ms))
+        self.leadership_state.confirmed(OWN, 7, 1000.0)
+        self.assertTrue(
+            self.leadership_state.may_move(1000.0 + TIMING.lease_ms / 2 - 1)
+        )
+        self.assertFalse(self.leadership_state.may_move(1000.0 + TIMING.lease_ms))
+        self.assertTrue(self.leadership_state.may_renew(1000.0 + TIMING.right_ms - 1))
+        self.assertFalse(self.leadership_state.may_renew(1000.0 + TIMING.right_ms))
 
     def test_leader_that_gave_up_stops_at_once(self):
-        self.standing.confirmed(OWN, 7, 1000.0)
-        self.standing.give_up()
-        self.assertFalse(self.standing.may_renew(1001.0))
+        self.leadership_state.confirmed(OWN, 7, 1000.0)
+        self.leadership_state.give_up()
+        self.assertFalse(self.leadership_state.may_renew(1001.0))
 
     def test_holds_are_limited_to_what_servers_accept(self):
         """Guards against longer grants; the server would refuse them and own no key."""
--- a/tests/test_pauses.py
+++ b/tests/test_pauses.py
@@ -6,7 +6,7 @@
 
 import gevent
 
-from standins.pauses import pauses_in
+from standins.pauses import read_pauses
 from standins.site import Backend, Site
 
 
@@ -25,6 +25,6 @@
         gevent.sleep(0.8)
         site.signal("records1", signal.SIGCONT)
         gevent.sleep(0.5)
-        reported = [line for line in pauses_in(site.folder) if "records1" in line]
+        reported = [line for line in read_pauses(site.folder) if "records1" in line]
         self.assertTrue(reported)
         self.assertIn("event=stood-still", reported[-1])
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -10,7 +10,7 @@
 
 from standins.site import free_address
 from tarragonramp import ManualClock
-from tarragonramp.adapters.fleet_peers import RELAY, PeerApplication
+from tarragonramp.adapters.fleet_peers import RELAY_PATH, PeerApplication
 from tarragonramp.adapters.serving import DaemonServer
 from tarragonramp.directory import BackendServer
 from tarragonramp.errors import (
@@ -105,7 +105,7 @@
         server.start()
         self.addCleanup(server.close)
         packed = zlib.compress(json.dumps(MESSAGE).encode())
-        head = f"POST {RELAY} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(packed)}"
+        head = f"POST {RELAY_PATH} HTTP/1.1\r\nHost: h\r\nContent-Length: {len(packed)}"
         for disconnects, n_sent in ((True, 0), (False, 3)):
             leader = gevent.socket.create_connection(server.address)
             leader.sendall(head.encode() + b"\r\n\r\n" + packed)
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -247,7 +247,7 @@
             {"p1": 60}, self.router.clock.now_ms()
         )
         self.assertEqual(self.send_request("/keyed/", 7)[0], 503)
-        told = self.view.work.drain(self.view.tables)
+        told = self.view.key_load_recorder.drain(self.view.tables)
         self.assertEqual(told["parts"][7][0], 1)
         self.assertGreater(told["parts"][7][1], 10)
 
