--- a/src/tarragonramp/adapters/pipelining.py
+++ b/src/tarragonramp/adapters/pipelining.py
@@ -46,12 +46,19 @@
     Served in sequence, a quick request would wait for a slow one before it while its
     own timeout runs. Only requests without a body overlap, because the start of the
     next request is known immediately. Responses are sent in the order of the requests.
+
+    The handler of the connection reads the requests; a copy of it serves each request
+    that overlaps with others.
     """
 
     pipeline = None
+
+    # Set on copies only: events for the responses to the previous and to this request,
+    # and the handler of the connection.
     previous_sent = None
     sent = None
     connection_handler = None
+
     _is_reading = False
 
     @property
--- a/src/tarragonramp/adapters/serving.py
+++ b/src/tarragonramp/adapters/serving.py
@@ -167,7 +167,8 @@
             enough for busy callers to receive a response with ``Connection: close``,
             since a request sent while its connection is being closed is lost.
         timeout_ms : float
-            Requests still in progress after this time are aborted.
+            Longest time to wait for requests in progress. The exit of the process
+            aborts those that remain.
 
         Returns
         -------
