--- a/src/tarragonramp/roles/follower.py
+++ b/src/tarragonramp/roles/follower.py
@@ -31,7 +31,7 @@
 """Longest time that a watch waits for changes.
 
 Only its end reveals that the response to a watch was lost. If the responses to both
-daemons that follow the store are lost, no daemon hears of a leaving server until then.
+daemons that follow the store are lost, no daemon learns of a leaving server until then.
 A value three times as long would save one call a second over all daemons."""
 
 WATCH_MS_AFTER_FAILURE = 800
@@ -73,8 +73,8 @@
     Parameters
     ----------
     view : FleetView
-    store : Platform
-        Provides ``snapshot`` and ``watch`` by kind.
+    store : object
+        See :class:`.FleetPorts`.
     peers : FleetPeers
         Asked while the store fails.
     ports : FleetPorts
@@ -433,8 +433,8 @@
         """Replace all objects of a kind, unless the list is older than those known.
 
         For a removed server, a peer reports how long it has been missing. If the time
-        were counted from when this daemon hears of it, each daemon that passes it on
-        would prolong the use of the server.
+        were counted from when this daemon receives the report, each daemon that passes
+        it on would extend the use of the server.
         """
         if version < self.versions.get(kind, 0):
             return
--- a/src/tarragonramp/roles/forwarding.py
+++ b/src/tarragonramp/roles/forwarding.py
@@ -179,7 +179,7 @@
             cold_start.shed(now_ms)
         if response.header(COLD_HEADER):
             cold_start.invalidate()
-        if not managed.checks or not cold_start.is_warm(now_ms):
+        if not managed.checks_grants or not cold_start.is_warm(now_ms):
             return response
         return attrs.evolve(response, headers=(*response.headers, (DIRECT_HEADER, "1")))
 
--- a/src/tarragonramp/roles/granter.py
+++ b/src/tarragonramp/roles/granter.py
@@ -64,9 +64,8 @@
     ----------
     view : FleetView
     leadership : Leadership
-    store : Platform
-    grants : Grants
-        Provides ``grant`` and ``release``.
+    store, grants : object
+        See :class:`.FleetPorts`.
     clock : Clock
     relays : RelayPool
     n_moves : int
--- a/src/tarragonramp/roles/grants.py
+++ b/src/tarragonramp/roles/grants.py
@@ -103,8 +103,8 @@
     ----------
     view : FleetView
     leadership : Leadership
-    grants : Grants
-        Provides ``grant`` and ``release``.
+    grants : object
+        See :class:`.FleetPorts`.
     clock : Clock
     refused : set of (str, int, int)
         Service, first key and token of grants that a server refused because it has seen
--- a/src/tarragonramp/roles/leadership.py
+++ b/src/tarragonramp/roles/leadership.py
@@ -103,7 +103,8 @@
     name, boot_id, address : str
         Of this daemon; peers send requests to the address.
     view : FleetView
-    store : Platform
+    store : object
+        See :class:`.FleetPorts`.
     peers : FleetPeers
     follower : Follower
         Receives the updates of peers.
--- a/src/tarragonramp/roles/relay.py
+++ b/src/tarragonramp/roles/relay.py
@@ -73,7 +73,8 @@
 
     Parameters
     ----------
-    grants : Grants
+    grants : object
+        See :class:`.FleetPorts`.
     clock : Clock
     """
 
--- a/src/tarragonramp/roles/routed_request.py
+++ b/src/tarragonramp/roles/routed_request.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through the fleet's router."""
+"""A caller's request while the fleet's router handles it."""
 
 import attrs
 
--- a/src/tarragonramp/roles/steward.py
+++ b/src/tarragonramp/roles/steward.py
@@ -42,7 +42,7 @@
     service : Service
     ledger : GrantLedger
     gate : Gate
-    checks : bool
+    checks_grants : bool
         Whether the server refuses superseded stewards. Also true for a service that is
         not divided, whose servers need no grants.
     condition : {"up", "silent", "unknown"}
@@ -62,7 +62,7 @@
     service: object
     ledger: GrantLedger
     gate: Gate
-    checks: bool
+    checks_grants: bool
     condition: str = UNKNOWN
     last_answer_ms: float = 0.0
     last_report_key: tuple = ()
@@ -164,11 +164,11 @@
         return self._managed_servers.get(role)
 
     def _release_proof(self, managed, index):
-        if not managed.checks:
+        if not managed.checks_grants:
             return managed.gate.released(index)
         return managed.ledger.released(index, self.clock.now_ms())
 
-    def _new_gate(self, vm, service, held, right_ends_ms, checks):
+    def _new_gate(self, vm, service, held, right_ends_ms, checks_grants):
         return Gate(
             ColdStartState(
                 service.cold_slots_per_server,
@@ -178,7 +178,7 @@
             held.right_ms,
             right_ends_ms,
             max(held.right_ms, held.longest_right_ms),
-            checks,
+            checks_grants,
         )
 
     def _new_managed_server(self, vm, role, service):
@@ -196,10 +196,16 @@
             inherited_end_ms,
             right_ends_ms,
         )
-        checks = service.checks_grants or not service.divided
-        gate = self._new_gate(vm, service, state.held, right_ends_ms, checks)
+        checks_grants = service.checks_grants or not service.divided
+        gate = self._new_gate(vm, service, state.held, right_ends_ms, checks_grants)
         return _ManagedServer(
-            vm, role, service, ledger, gate, checks, last_answer_ms=self.clock.now_ms()
+            vm,
+            role,
+            service,
+            ledger,
+            gate,
+            checks_grants,
+            last_answer_ms=self.clock.now_ms(),
         )
 
     def _renew_until_term_ends(self, managed):
@@ -240,7 +246,7 @@
         # make the grant outlast the right by more than a grant's length.
         now_ms = self.clock.now_ms()
         grant = None
-        if registered and managed.checks and self._holds_term(managed):
+        if registered and managed.checks_grants and self._holds_term(managed):
             grant = self._next_grant(managed, now_ms)
         timeout_ms = self.timing.control_timeout_ms
         if grant is None:
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -73,7 +73,7 @@
 class MissingServerTest(unittest.TestCase):
     """A server's entry is missing after a store failure."""
 
-    def test_passing_on_does_not_prolong_use_of_missing_server(self):
+    def test_passing_on_does_not_extend_use_of_missing_server(self):
         clock = ManualClock(10_000.0)
         ports = types.SimpleNamespace(read_server=read_server)
         chain = [Follower(FleetView(clock), None, None, ports, clock) for _ in range(3)]
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -25,7 +25,7 @@
             vm=types.SimpleNamespace(address="s1:80"),
             ledger=types.SimpleNamespace(term=1),
             role="steward.t.desk.s1",
-            checks=False,
+            checks_grants=False,
         )
         held = types.SimpleNamespace(number=1, right_until_ms=10_800.0)
         self.forward_handler = ForwardHandler(
