--- a/src/tarragonramp/adapters/fleet_peers.py
+++ b/src/tarragonramp/adapters/fleet_peers.py
@@ -85,7 +85,7 @@
 
         Returns
         -------
-        news : dict
+        updates : dict
             As ``Follower.updates_since`` returns it; empty if there are no updates or
             no peer answered.
         """
@@ -197,8 +197,8 @@
     def _news(self, environ):
         query = urllib.parse.parse_qs(environ["QUERY_STRING"])
         kind, since = query["kind"][0], int(query["since"][0])
-        news = self.follower.updates_since({kind: since})
-        return {kind: news[kind]} if kind in news else {}
+        updates = self.follower.updates_since({kind: since})
+        return {kind: updates[kind]} if kind in updates else {}
 
     def _metrics(self, start_response):
         page, content_type = self.metrics()
--- a/src/tarragonramp/roles/leadership.py
+++ b/src/tarragonramp/roles/leadership.py
@@ -345,7 +345,7 @@
         )
 
     def daemons_in(self, domain):
-        """Return addresses of recently heard daemons in another failure domain.
+        """Return addresses of another domain's daemons that were recently heard from.
 
         Empty if the domain is this daemon's own.
         """
--- a/src/tarragonramp/roles/terms.py
+++ b/src/tarragonramp/roles/terms.py
@@ -238,7 +238,7 @@
 
     def _apply_term(self, state, term, version, sent_ms=None):
         before = state.held.number if state.held is not None else 0
-        state.see(term, version, self.clock.now_ms(), sent_ms)
+        state.observe(term, version, self.clock.now_ms(), sent_ms)
         after = state.held.number if state.held is not None else 0
         if before and not after:
             log_event("term-lost", role=state.role, term=before, to=term.holder)
--- a/src/tarragonramp/terms.py
+++ b/src/tarragonramp/terms.py
@@ -115,7 +115,7 @@
         """Tell whether the holder may still renew grants that it sent within its right.
 
         Applies only to servers that refuse superseded stewards, and only to the server
-        process that the holder knows: a restarted process has forgotten whom to refuse.
+        process that the holder knows: a restarted process does not know whom to refuse.
         While an update that ends this permission is in doubt, it counts as ended.
         """
         if self.may_act(now_ms):
@@ -177,7 +177,7 @@
             self._apply_confirmations()
         return self.pending
 
-    def observed(self, term, version, sent_ms=None):
+    def observe(self, term, version, sent_ms=None):
         """Process the term as the platform reported it.
 
         Parameters
@@ -270,8 +270,9 @@
 class RoleTerm:
     """State of one daemon for one role: claiming, holding and giving it up. No I/O.
 
-    Every object of the role that this daemon sees is passed to :meth:`see`, and every
-    update that it sends comes from :meth:`claim`, :meth:`keep` or :meth:`give_up`.
+    Every object of the role that this daemon sees is passed to :meth:`observe`, and
+    every update that it sends comes from :meth:`claim`, :meth:`keep` or
+    :meth:`give_up`.
 
     Parameters
     ----------
@@ -306,7 +307,7 @@
         """
         return self._revoked.get(identity, 0)
 
-    def see(self, term, version, now_ms, sent_ms=None):
+    def observe(self, term, version, now_ms, sent_ms=None):
         """Process the newest object of the role.
 
         Parameters
@@ -315,9 +316,9 @@
         version : int
         now_ms : float
         sent_ms : float or None
-            As for :meth:`HeldTerm.observed`.
+            As for :meth:`HeldTerm.observe`.
         """
-        if self.held is not None and not self.held.observed(term, version, sent_ms):
+        if self.held is not None and not self.held.observe(term, version, sent_ms):
             self._given_up = max(self._given_up, self.held.number)
             self.held = None
         self._resolve_claim(term, version)
@@ -418,7 +419,7 @@
             longest_grant_ms=term.grant_ms,
         )
         if sent_ms is not None:
-            self.held.observed(term, version, sent_ms)
+            self.held.observe(term, version, sent_ms)
         self.earlier_right_ends_ms = self._earlier_right_ends_ms(term, now_ms)
         self._takeover = None
 
--- a/tests/fleet_simulation.py
+++ b/tests/fleet_simulation.py
@@ -173,7 +173,7 @@
 
 @attrs.define
 class ServerRequest:
-    """A grant or release request on its way to a backend server."""
+    """A grant or release request in transit to a backend server."""
 
     is_grant: bool
     fields: dict
--- a/tests/ownership_simulation.py
+++ b/tests/ownership_simulation.py
@@ -332,7 +332,7 @@
             daemon.roles[role] = state
         version, term = daemon.seen.get(role, (0, None))
         if term is not None:
-            state.see(term, version, self.clock(daemon))
+            state.observe(term, version, self.clock(daemon))
         return state
 
     def advance_role(self, daemon, role):
@@ -365,7 +365,9 @@
             daemon.busy.discard(state.role)
             if shown is not None:
                 now = self.clock(daemon)
-                state.see(shown[1], shown[0], now, self.right_start_ms(sent_ms, now))
+                state.observe(
+                    shown[1], shown[0], now, self.right_start_ms(sent_ms, now)
+                )
 
         free = lambda: daemon.busy.discard(state.role)
         spec, expected = write.term, write.expected_version
--- a/tests/test_fleet_news.py
+++ b/tests/test_fleet_news.py
@@ -93,12 +93,12 @@
             self.version += 1
             self.add_server(f"i-{self.rng.getrandbits(40):010x}")
         self.version += 1
-        news = {
+        updates = {
             "version": self.version,
             "names": list(self.entries),
             "objects": list(self.entries.values()),
         }
-        self.leader.follower.apply_updates({SERVER: news})
+        self.leader.follower.apply_updates({SERVER: updates})
 
     def add_server(self, name):
         """Add one server and its entry."""
@@ -144,8 +144,8 @@
             for name in self.servers:
                 counts = [d.selector.in_flight(name) for d in self.followers]
                 others_in_flight = sum(counts) - daemon.selector.in_flight(name)
-                told = daemon.selector.peer_in_flight(name, now_ms)
-                self.assertEqual(told or 0, others_in_flight)
+                in_flight = daemon.selector.peer_in_flight(name, now_ms)
+                self.assertEqual(in_flight or 0, others_in_flight)
 
 
 if __name__ == "__main__":
--- a/tests/test_follower.py
+++ b/tests/test_follower.py
@@ -32,14 +32,14 @@
 def read(follower, version):
     """Let a follower apply all tables as stored at a version."""
     row = ["parts", version, table_at(version).to_spec()]
-    news = {"version": version, "names": ["parts"], "objects": [row]}
-    follower.apply_updates({RANGES: news})
+    updates = {"version": version, "names": ["parts"], "objects": [row]}
+    follower.apply_updates({RANGES: updates})
 
 
 class StoreFailureTest(unittest.TestCase):
     """The store failed, and daemons report that to each other."""
 
-    def test_reported_store_failure_is_forgotten(self):
+    def test_reported_store_failure_expires(self):
         clock = ManualClock(10_000.0)
         one, other = (
             Follower(FleetView(clock), None, None, None, clock) for _ in range(2)
@@ -54,8 +54,8 @@
             clock.advance(1000.0)
         other.apply_updates(one.updates_since(other.changed))
         for follower in (one, other):
-            news = follower.updates_since({})[RANGES]
-            self.assertIsNone(news["trouble_ms_ago"])
+            updates = follower.updates_since({})[RANGES]
+            self.assertIsNone(updates["trouble_ms_ago"])
 
 
 class Peer:
@@ -107,9 +107,9 @@
 
     def pass_on_updates(self):
         """Pass on the leader's updates; return their size in bytes."""
-        news = self.leader.updates_since(self.daemon.changed)
-        self.daemon.apply_updates(json.loads(json.dumps(news)))
-        return len(json.dumps(news))
+        updates = self.leader.updates_since(self.daemon.changed)
+        self.daemon.apply_updates(json.loads(json.dumps(updates)))
+        return len(json.dumps(updates))
 
     def assert_same_table(self):
         """Check that both have the same table, also in the form that is passed on."""
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -104,7 +104,7 @@
         self.assertEqual(uncertain.released(3), "")
 
     def test_release_waits_for_requests_of_an_earlier_steward(self):
-        """A steward dies with requests in flight; its successor has sent none."""
+        """A steward fails with requests in flight; its successor has sent none."""
         new = Gate(
             warm(2), 800.0, earlier_right_ends_ms=500.0, earlier_longest_ms=800.0
         )
@@ -179,7 +179,7 @@
     def test_new_steward_waits_for_the_right_of_the_previous_one(self):
         """Guards against sending a cold server twice the load that it can take.
 
-        A steward dies with a request in flight that its successor does not know of.
+        A steward fails with a request in flight that its successor does not know of.
         """
         gate = Gate(ColdStartState(1, 4), 800.0, 500.0, 800.0)
         self.assertTrue(gate.is_full(499.0))
--- a/tests/test_granter.py
+++ b/tests/test_granter.py
@@ -279,7 +279,7 @@
         owners = {item.owner: item.token for item in table.ranges}
         self.assertEqual(owners, {"old": 1, "new": 1 + TOKEN_STEP})
 
-    def test_doubt_about_range_applies_to_each_split_piece(self):
+    def test_unanswered_renewal_is_in_doubt_for_each_split_piece(self):
         """A range is split while a renewal of all of it has no response.
 
         The renewal could arrive after a piece was released and granted to another
@@ -290,9 +290,9 @@
         self.assertTrue(self.wait(lambda: 1 + TOKEN_STEP in self.grants_to("new")))
         self.assertIn(("release", "old", FENCE), self.servers.calls)
         self.assertNotIn(("release", "old", 1), self.servers.calls)
-        told = {first for _, first, _, _ in self.in_doubt_grants()}
+        in_doubt = {first for _, first, _, _ in self.in_doubt_grants()}
         kept = {i.first for i in self.view.tables["parts"].ranges if i.owner == "old"}
-        self.assertLessEqual(kept, told)
+        self.assertLessEqual(kept, in_doubt)
 
     def test_fencing_one_piece_does_not_stop_renewals_of_the_others(self):
         """A renewal of the whole range reaches a server that was fenced for one piece.
@@ -400,12 +400,12 @@
         in_doubt_grants = self.granter.tracker.in_doubt_grants()
         return in_doubt_grants.to_message(self.clock.now_ms())["ranges"]
 
-    def test_inherited_doubts_are_reported_to_next_leader(self):
+    def test_inherited_in_doubt_grants_are_reported_to_next_leader(self):
         key, until_ms = ("parts", 0, 1), self.clock.now_ms() + 5000.0
         before = InheritedGrants(self.clock.now_ms(), 0.0, {key: until_ms})
         self.leader.inherited = before
-        told = self.granter.tracker.in_doubt_grants().to_message(self.clock.now_ms())
-        again = InheritedGrants.from_message(told, self.clock.now_ms())
+        message = self.granter.tracker.in_doubt_grants().to_message(self.clock.now_ms())
+        again = InheritedGrants.from_message(message, self.clock.now_ms())
         self.assertEqual(again.doubt_ends_ms(key), until_ms)
         self.assertLess(again.doubt_ends_ms(("parts", 7, 1)), until_ms - 4000.0)
 
@@ -538,7 +538,7 @@
         gevent.sleep(1.5)
         self.assertIn(len(asked), range(2, 8))
 
-    def test_closed_connection_is_remembered_until_tokens_are_raised(self):
+    def test_closed_connection_is_recorded_until_tokens_are_raised(self):
         """Otherwise a restarted server gets the old token over a new connection."""
         self.assign_all()
         self.register(server("old"))
@@ -607,8 +607,8 @@
         self.assign_all(token=1 + TOKEN_STEP)
         version = self.view.table_version("parts")
         self.view.update_table(self.view.tables["parts"], version + 1)
-        told = RangeTable("parts", (KeyRange(0, N_KEYS - 1, "old", 1, 1),), {})
-        self.view.tables["parts"] = told
+        outdated = RangeTable("parts", (KeyRange(0, N_KEYS - 1, "old", 1, 1),), {})
+        self.view.tables["parts"] = outdated
         table = self.store.objects["ramp-ranges", "parts"]
         newer = attrs.evolve(table, version=version + 1)
         self.store.objects["ramp-ranges", "parts"] = newer
@@ -737,7 +737,7 @@
         self.leader.may_move = True
         self.assertTrue(self.wait(lambda: self.grants_to("new")))
 
-    def test_grants_are_remembered_if_leader_was_not_replaced(self):
+    def test_grants_are_kept_if_leader_was_not_replaced(self):
         """The store does not confirm a leader for nine seconds, and then does again.
 
         If the leader discarded its grants, a hold with seconds left would count as
--- a/tests/test_hotspots.py
+++ b/tests/test_hotspots.py
@@ -150,7 +150,7 @@
         self.assertEqual(owned.token, 1 + TOKEN_STEP)
 
     def test_number_of_ranges_is_limited(self):
-        """Hot spots wander over all keys for days, and ranges are never merged."""
+        """Hot spots move over all keys for days, and ranges are never merged."""
         table = initial_table("parts", servers(4))
         rng = random.Random(1)
         for _ in range(300):
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -80,7 +80,7 @@
         """Return no updates."""
         return {}
 
-    def apply_updates(self, news):
+    def apply_updates(self, updates):
         """Do nothing."""
 
 
@@ -178,11 +178,11 @@
     def appointed_watchers(self, names):
         """Return the names of daemons that the leader tells to follow the store."""
         self.one.follower.updates_since = lambda versions: {"any": {}}
-        told = {}
+        watches_by_name = {}
         for name in names * 2:
             message = {"name": name, "address": f"{name}:1", "versions": {}}
-            told[name] = self.one.handle_ping(message)["watch"]
-        return [name for name, watches in told.items() if watches]
+            watches_by_name[name] = self.one.handle_ping(message)["watch"]
+        return [name for name, watches in watches_by_name.items() if watches]
 
     def test_unconfirmed_leader_appoints_watchers_in_time(self):
         """Its calls have no response; changes have to be in force after two seconds."""
@@ -267,7 +267,7 @@
             third._ping()
         self.assertIn("nobody leads", third.follower.events)
 
-    def test_doubts_of_replaced_leader_are_inherited(self):
+    def test_in_doubt_grants_of_replaced_leader_are_inherited(self):
         """Only its own process knows which of its grants had no response."""
         key, until_ms = ("parts", 0, 1), self.clock.now_ms() + 9000.0
         self.one.in_doubt_grants = lambda: InheritedGrants(0.0, 0.0, {key: until_ms})
--- a/tests/test_leading.py
+++ b/tests/test_leading.py
@@ -48,7 +48,7 @@
         self.assertTrue(self.leadership_state.may_renew(1000.0 + TIMING.right_ms - 1))
         self.assertFalse(self.leadership_state.may_renew(1000.0 + TIMING.right_ms))
 
-    def test_leader_that_gave_up_stops_at_once(self):
+    def test_leader_that_resigned_stops_at_once(self):
         self.leadership_state.confirmed(OWN, 7, 1000.0)
         self.leadership_state.give_up()
         self.assertFalse(self.leadership_state.may_renew(1001.0))
--- a/tests/test_removals.py
+++ b/tests/test_removals.py
@@ -91,8 +91,8 @@
     def watch(self, follower):
         """Pass a follower the events that it has not read yet."""
         since = follower.versions[SERVER]
-        news = [event for event in self.events if event.version > since]
-        follower._apply_changes(SERVER, self.version, news)
+        events = [event for event in self.events if event.version > since]
+        follower._apply_changes(SERVER, self.version, events)
 
     def read(self, follower):
         """Let a follower read a snapshot."""
@@ -141,8 +141,8 @@
             history.watch(other)
             history.step()
             history.read(one)
-        news = json.loads(json.dumps(one.updates_since(asked)))
-        other.apply_updates(news)
+        updates = json.loads(json.dumps(one.updates_since(asked)))
+        other.apply_updates(updates)
 
     def new_follower(self):
         """Return a follower that has read nothing."""
--- a/tests/test_router.py
+++ b/tests/test_router.py
@@ -247,9 +247,9 @@
             {"p1": 60}, self.router.clock.now_ms()
         )
         self.assertEqual(self.send_request("/keyed/", 7)[0], 503)
-        told = self.view.key_load_recorder.drain(self.view.tables)
-        self.assertEqual(told["parts"][7][0], 1)
-        self.assertGreater(told["parts"][7][1], 10)
+        counts = self.view.key_load_recorder.drain(self.view.tables)
+        self.assertEqual(counts["parts"][7][0], 1)
+        self.assertGreater(counts["parts"][7][1], 10)
 
     def test_slow_move_delays_only_one_request(self):
         """An owner has vanished, and its keys are free only once its grants expire.
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -10,7 +10,7 @@
 def held(successor="b#1"):
     """Return a term that the platform has confirmed at time 0."""
     term = HeldTerm("steward.t.s.x", 1, 10, successor, right_ms=800.0)
-    term.observed(Term(1, "a#1", successor), 10, sent_ms=0.0)
+    term.observe(Term(1, "a#1", successor), 10, sent_ms=0.0)
     return term
 
 
@@ -104,7 +104,7 @@
         """Return a daemon whose claim was granted at time 0, and its term."""
         state = RoleTerm("r", identity, right_ms=800.0)
         write = state.claim(term, 5 if term else 0, 0.0, ClaimPlan("b#1"), "q1")
-        state.see(write.term, 10, 0.0, sent_ms=0.0)
+        state.observe(write.term, 10, 0.0, sent_ms=0.0)
         return state, write.term
 
     def test_update_in_doubt_is_resent_unchanged(self):
@@ -117,7 +117,7 @@
         state, _ = self.holder()
         first = state.keep(100.0, "c#1", False, "q2")
         self.assertIs(state.keep(200.0, "d#1", False, "q3"), first)
-        state.see(first.term, 11, 300.0, sent_ms=200.0)
+        state.observe(first.term, 11, 300.0, sent_ms=200.0)
         self.assertEqual(state.held.successor, "c#1")
         self.assertEqual(state.keep(300.0, "d#1", False, "q4").expected_version, 11)
 
@@ -130,24 +130,24 @@
         old = Term(1, "a#1", "b#1", right_ms=800.0)
         taker = RoleTerm("r", "b#1", right_ms=800.0)
         plan = ClaimPlan("c#1", last_confirmation_ms=0.0)
-        taker.see(taker.claim(old, 5, 500.0, plan, "q").term, 10, 500.0, 500.0)
+        taker.observe(taker.claim(old, 5, 500.0, plan, "q").term, 10, 500.0, 500.0)
         given = taker.give_up(510.0, "c#1", "q2").term
         self.assertFalse(given.settled)
         next_holder = RoleTerm("r", "c#1", right_ms=800.0)
-        next_holder.see(given, 11, 520.0)
+        next_holder.observe(given, 11, 520.0)
         self.assertGreater(next_holder.earlier_right_ends_ms, 1320.0)
 
     def test_consent_after_the_wait_needs_no_further_wait(self):
         state, _ = self.holder()
         given = state.give_up(10.0, "b#1", "q2").term
         next_holder = RoleTerm("r", "b#1", right_ms=800.0)
-        next_holder.see(given, 11, 20.0)
+        next_holder.observe(given, 11, 20.0)
         self.assertEqual(next_holder.earlier_right_ends_ms, 20.0)
 
     def test_stale_view_does_not_restore_a_term_given_up(self):
         state, term = self.holder()
         state.give_up(10.0, "b#1", "q2")
-        state.see(term, 10, 20.0)
+        state.observe(term, 10, 20.0)
         self.assertIsNone(state.held)
 
     def test_confirmations_resume_after_a_failed_takeover(self):
@@ -155,9 +155,9 @@
         taker = RoleTerm("r", "b#1", right_ms=800.0)
         taker.claim(old, 5, 500.0, ClaimPlan("c#1", last_confirmation_ms=0.0), "q")
         self.assertEqual(taker.revoked_for("a#1"), 1)
-        taker.see(old, 5, 600.0)
+        taker.observe(old, 5, 600.0)
         self.assertEqual(taker.revoked_for("a#1"), 1)
-        taker.see(old, 6, 600.0)
+        taker.observe(old, 6, 600.0)
         self.assertEqual(taker.revoked_for("a#1"), 0)
 
 
