--- a/src/tarragonramp/directory.py
+++ b/src/tarragonramp/directory.py
@@ -152,7 +152,7 @@
         self._cold_end_ms[name] = max(self._cold_end_ms.get(name, 0.0), until_ms)
 
     def is_cold(self, name):
-        """Tell whether a server is in a cold start and can take only little load."""
+        """Tell whether a server is in a cold start and can handle only little load."""
         return self._cold_end_ms.get(name, -math.inf) > self.clock.now_ms()
 
     def may_serve(self, server):
--- a/src/tarragonramp/gates.py
+++ b/src/tarragonramp/gates.py
@@ -1,7 +1,7 @@
 """Admission of requests to backend servers that only their steward may send to.
 
 Servers that do not verify the sender of a request are always restricted in this way,
-all other servers only in a cold start, until they can take their full load. All
+all other servers only in a cold start, until they can handle their full load. All
 decisions here are the steward's; entries forward callers' requests to it.
 """
 
@@ -104,7 +104,7 @@
     Parameters
     ----------
     cold_start : ColdStartState
-        Tracks how many requests from all daemons the server can take at once.
+        Tracks how many requests from all daemons the server can handle at once.
     longest_ms : float
         Longest deadline that is passed to the server: the duration of a right.
     earlier_right_ends_ms : float
@@ -149,7 +149,7 @@
 
         Until the earlier steward's right has ended, the server may still be working on
         that steward's requests: in a cold start it would get twice the load that it can
-        take.
+        handle.
         """
         if now_ms < self.earlier_right_ends_ms and not self.cold_start.is_warm(now_ms):
             return True
@@ -291,12 +291,12 @@
 
 @attrs.define
 class ColdStartState:
-    """How much load a server can take, as tracked by its steward.
+    """How much load a server can handle, as tracked by its steward.
 
     Parameters
     ----------
     cold_slots, slots : int
-        Requests that it can take at once in a cold start, and when warm.
+        Requests that it can handle at once in a cold start, and when warm.
     known_warm : bool, default=False
         Whether this daemon has been sending to the server directly, as one reported to
         be warm, over connections that are still open. The first process seen is then
--- a/src/tarragonramp/manifest.py
+++ b/src/tarragonramp/manifest.py
@@ -78,7 +78,7 @@
     warmup_ms : float
         Duration of the cold start of a server.
     cold_per_s : float
-        Requests per second that a server can take in a cold start.
+        Requests per second that a server can handle in a cold start.
     """
 
     name: str
--- a/src/tarragonramp/permits.py
+++ b/src/tarragonramp/permits.py
@@ -11,10 +11,10 @@
 
 @attrs.define
 class DirectSendPermits:
-    """Servers whose stewards have reported that they can take their full load.
+    """Servers whose stewards have reported that they can handle their full load.
 
     When a server has started or come back while callers wait, entries that each know
-    only their own requests would together send it more than it can take in a cold
+    only their own requests would together send it more than it can handle in a cold
     start. So an entry sends to a server directly only once its steward has reported it
     as warm, and until there is any sign of a restart or a cold start.
     """
--- a/src/tarragonramp/roles/entry.py
+++ b/src/tarragonramp/roles/entry.py
@@ -454,7 +454,7 @@
     def _exclude_busy_cold_servers(self, routes):
         """Exclude cold servers that already have a request from this entry.
 
-        A server that has just come back can take very few requests, and callers would
+        A server that has just come back can handle very few requests, and callers would
         queue for it while other servers are free. One request at a time is still sent
         there, since the response of its steward shows when the server is warm.
         """
--- a/src/tarragonramp/roles/router.py
+++ b/src/tarragonramp/roles/router.py
@@ -220,7 +220,7 @@
         """Return the servers of a shared service that may be sent a request now.
 
         Servers in a cold start are returned only if there are no others, since they can
-        take little load.
+        handle little load.
         """
         directory = self.view.directory
         servers = directory.usable(request.service)
--- a/tests/test_gates.py
+++ b/tests/test_gates.py
@@ -177,7 +177,7 @@
         self.assertEqual(cold_start.max_in_flight(20.0), 1)
 
     def test_new_steward_waits_for_the_right_of_the_previous_one(self):
-        """Guards against sending a cold server twice the load that it can take.
+        """Guards against sending a cold server twice the load that it can handle.
 
         A steward fails with a request in flight that its successor does not know of.
         """
