--- a/src/tarragonramp/fleet.py
+++ b/src/tarragonramp/fleet.py
@@ -349,7 +349,7 @@
         while True:
             gevent.sleep(10.0)
             self.router.selector.retain(self.view.directory.servers)
-            self.router.owners.forget_slow_moves()
+            self.router.owners.clear_slow_moves()
 
     def _serve_readiness(self, environ, start_response):
         if environ["PATH_INFO"] != self.ports.ready_path:
--- a/src/tarragonramp/roles/audit.py
+++ b/src/tarragonramp/roles/audit.py
@@ -34,7 +34,7 @@
 UNAUTHENTICATED_INTERVAL_MS = 60_000
 """Minimum time between two entries about unauthenticated calls.
 
-Limits the writes to the platform while somebody tries secrets as fast as the port
+Limits the writes to the platform while a caller tries secrets as fast as the port
 answers. One entry a minute names the latest call and counts all of them.
 """
 
--- a/src/tarragonramp/roles/entry.py
+++ b/src/tarragonramp/roles/entry.py
@@ -58,7 +58,7 @@
 # Delays between tries of a request that its owner refused. An owner refuses while the
 # route known here is outdated, and while the grant that belongs to a new route has not
 # arrived yet (about 10 ms). Retrying hides a short move of keys from callers; more than
-# three retries would only load an owner that has lost its steward for good.
+# three retries would only load an owner that has lost its steward permanently.
 OWNER_RETRY_DELAYS_MS = (15.0, 60.0, 200.0)
 
 # After these the caller's connection is closed, because the start of its next request
--- a/src/tarragonramp/roles/owners.py
+++ b/src/tarragonramp/roles/owners.py
@@ -74,7 +74,7 @@
             if self._range_of(request) != before:
                 return
 
-    def forget_slow_moves(self):
+    def clear_slow_moves(self):
         """Discard which moves were slow; slow moves in progress are recorded again."""
         self._slow_moves.clear()
 
