--- a/src/tarragonramp/roles/leadership.py
+++ b/src/tarragonramp/roles/leadership.py
@@ -103,7 +103,8 @@
     name, boot_id, address : str
         Of this daemon; peers send requests to the address.
     view : FleetView
-    store : Platform
+    store : object
+        See :class:`.FleetPorts`.
     peers : FleetPeers
     follower : Follower
         Receives the updates of peers.
@@ -344,7 +345,7 @@
         )
 
     def daemons_in(self, domain):
-        """Return addresses of recently heard daemons in another failure domain.
+        """Return addresses of another domain's daemons that were recently heard from.
 
         Empty if the domain is this daemon's own.
         """
